--- a/aniseshed/account.py
+++ b/aniseshed/account.py
@@ -82,7 +82,6 @@
         self.misses = 0 if heard else min(self.misses + 1, int(CALL_RANGE))
         self.calls.stable_interval_ns = self.gap_ns * min(2.0**self.misses, CALL_RANGE)
 
-
     def back(self, now_ns: int) -> None:
         """The counter answers again: guards against waiting out a gap that only its silence had made."""
         self.misses, self.calls.stable_interval_ns = 0, self.gap_ns
--- a/tests/test_bad_servers.py
+++ b/tests/test_bad_servers.py
@@ -155,8 +155,6 @@
     run(scenario)
 
 
-
-
 def test_a_silent_counter_connection_is_left_soon_and_a_silent_counter_not_pestered() -> None:
     async def scenario() -> None:
         stub = await Stub(never).start()
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -29,9 +29,7 @@
 
 
 def without(number: int, name: str) -> bytes:
-    return text(
-        [{k: v for k, v in line.items() if n != number or k != name} for n, line in enumerate(LINES)]
-    )
+    return text([{k: v for k, v in line.items() if n != number or k != name} for n, line in enumerate(LINES)])
 
 
 GOOD = text(LINES)
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -92,9 +92,7 @@
         (["judge"], "name one history"),
     ],
 )
-def test_bad_words_are_one_line(
-    arguments: list[str], told: str, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_bad_words_are_one_line(arguments: list[str], told: str, capsys: pytest.CaptureFixture[str]) -> None:
     try:
         status = command.main(arguments)
     except SystemExit as end:
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -149,9 +149,7 @@
 
 def test_a_cold_server_is_slower_and_falls_over_when_it_gets_too_much() -> None:
     async def scenario() -> None:
-        desk = Desk(
-            queue=100, cold_from=0.1, cold_s=1000.0, fall_multiple=2.0, fall_s=1.0, mean_work_s=0.01
-        )
+        desk = Desk(queue=100, cold_from=0.1, cold_s=1000.0, fall_multiple=2.0, fall_s=1.0, mean_work_s=0.01)
         client = await desk.start(cold=True)
         before = time.monotonic()
         await client.ask(*ask("w10"))
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -218,9 +218,7 @@
     plan = plans.scaled(plans.load("calm"), 3.0)
     first = whole.digest(whole.play(plan, 3)[1])
     assert first == whole.digest(whole.play(plan, 3)[1]) != whole.digest(whole.play(plan, 4)[1])
-    monkeypatch.setattr(
-        network.Network, "delay_s", lambda self: 1e-4 + int.from_bytes(os.urandom(2)) * 1e-9
-    )
+    monkeypatch.setattr(network.Network, "delay_s", lambda self: 1e-4 + int.from_bytes(os.urandom(2)) * 1e-9)
     assert whole.digest(whole.play(plan, 3)[1]) != first
 
 
