--- a/hookport/clients.py
+++ b/hookport/clients.py
@@ -29,7 +29,7 @@
 TOLD_S = 5.0  # how often the log tells how many were closed, and why
 
 
-class Answer:
+class PendingReply:
     """The place of one command's answer among those of its connection."""
 
     __slots__ = ("connection", "gone", "reply")
@@ -39,7 +39,7 @@
         self.reply: bytes | None = None
         self.gone: Callable[[], None] | None = None  # called when the client has gone away
 
-    def give(self, reply: bytes) -> None:
+    def complete(self, reply: bytes) -> None:
         self.reply, self.gone = reply, None
         self.connection.flush()
 
@@ -63,21 +63,21 @@
     """One client connection, which carries requests of many customers."""
 
     __slots__ = (
-        "answers", "clients", "done", "ended", "parsing", "reader", "refused", "row", "session",
-        "stopped_reading", "taken", "transport", "write_paused",
+        "pending_replies", "clients", "done", "ended", "parsing", "reader", "refused", "row", "session",
+        "stopped_reading", "accepted_count", "transport", "write_paused",
     )  # fmt: skip
 
     def __init__(self, clients: Clients) -> None:
         self.clients = clients
         self.reader = resp.Reader(MOST_WORDS)
-        self.answers: deque[Answer] = deque()
+        self.pending_replies: deque[PendingReply] = deque()
         self.row: Row | None = None  # of those that wait for this client
         self.session: Session | None = None  # where the front for limit commands is on
         self.stopped_reading = False
         self.write_paused = False
         self.parsing = False
         self.ended = False
-        self.done, self.taken, self.refused = 0, 0, 0  # commands, requests, what could not be used
+        self.done, self.accepted_count, self.refused = 0, 0, 0  # commands, requests, what could not be used
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -86,10 +86,10 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.ended = True
         self.clients.forget(self)
-        for answer in self.answers:
+        for answer in self.pending_replies:
             if answer.gone:
                 answer.gone()
-        self.answers.clear()
+        self.pending_replies.clear()
 
     def data_received(self, data: bytes) -> None:
         if not self.ended:
@@ -103,68 +103,68 @@
         self.parsing = True
         before = self.done
         try:
-            while not self.ended and len(self.answers) < MOST_PIPELINED and not self.write_paused:
+            while not self.ended and len(self.pending_replies) < MOST_PIPELINED and not self.write_paused:
                 if (words := self.reader.gets()) is False:
                     break
                 self.done += 1
                 self.command(words)
         except resp.StreamError as error:
-            self.break_off(str(error))
+            self.close_with_error(str(error))
         finally:
             self.parsing = False
         if not self.ended:
             self.throttle()
             self.wait(self.done > before)
 
-    def break_off(self, why: str) -> None:
+    def close_with_error(self, why: str) -> None:
         """Guards against a client that cannot be understood or does not go on: one error line, then a
         close, whatever else waits on this connection, which fails at once."""
         self.clients.closed[why] += 1
-        answers, self.ended = list(self.answers), True
-        self.push(resp.error(why))
+        answers, self.ended = list(self.pending_replies), True
+        self.send_reply(resp.error(why))
         for answer in answers:
             if gone := answer.gone:
-                answer.give(resp.error("failed: the connection is closed"))
+                answer.complete(resp.error("failed: the connection is closed"))
                 gone()
-        self.finish()
+        self.close_when_answered()
 
     def command(self, words: resp.Reply) -> None:
         if not isinstance(words, list) or not words or not isinstance(words[0], bytes):
-            return self.refuse("a command is an array of bulk strings")
+            return self.reject_command("a command is an array of bulk strings")
         verb = words[0].upper()
         if verb in (b"SVC.QUERY", b"SVC.SUBMIT"):
-            answer = Answer(self)
-            self.answers.append(answer)
+            answer = PendingReply(self)
+            self.pending_replies.append(answer)
             try:
                 self.clients.take(words, answer)
-                self.taken += 1
+                self.accepted_count += 1
             except resp.CommandError as error:
-                self.answers.remove(answer)
-                self.refuse(str(error))
+                self.pending_replies.remove(answer)
+                self.reject_command(str(error))
         elif (front := self.clients.front) and front.command(self, verb, words):
             pass
         elif verb == b"PING":
-            self.push(resp.PONG if len(words) == 1 else resp.error("wrong number of arguments"))
+            self.send_reply(resp.PONG if len(words) == 1 else resp.error("wrong number of arguments"))
         elif verb in (b"CLIENT", b"SELECT"):
-            self.push(resp.OK)
+            self.send_reply(resp.OK)
         else:
-            self.push(resp.error("unknown command"))
+            self.send_reply(resp.error("unknown command"))
 
-    def refuse(self, why: str) -> None:
+    def reject_command(self, why: str) -> None:
         """Guards against a client that only sends what cannot be used keeping a descriptor, or the core."""
         self.refused += 1
-        if not self.taken or self.refused > MOST_REFUSED:
-            return self.break_off(why)
-        self.push(resp.error(why))
+        if not self.accepted_count or self.refused > MOST_REFUSED:
+            return self.close_with_error(why)
+        self.send_reply(resp.error(why))
 
-    def push(self, reply: bytes) -> None:
-        answer = Answer(self)
-        self.answers.append(answer)
-        answer.give(reply)
+    def send_reply(self, reply: bytes) -> None:
+        answer = PendingReply(self)
+        self.pending_replies.append(answer)
+        answer.complete(reply)
 
     def flush(self) -> None:
         """Write the answers whose turn it is."""
-        answers, ready = self.answers, []
+        answers, ready = self.pending_replies, []
         while answers and (reply := answers[0].reply) is not None:
             answers.popleft()
             ready.append(reply)
@@ -175,7 +175,7 @@
             log.warning("dropping a client that does not read its answers")
             return self.transport.abort()
         if self.ended or (self.clients.closing and not answers):
-            self.finish()
+            self.close_when_answered()
         elif not self.parsing:
             if self.reader.waiting():
                 self.parse()  # what was left unread while too much was unanswered
@@ -185,7 +185,7 @@
 
     def throttle(self) -> None:
         """Guards against memory filled by one client: while it is behind, it is not read."""
-        stop = self.ended or self.write_paused or len(self.answers) >= MOST_PIPELINED
+        stop = self.ended or self.write_paused or len(self.pending_replies) >= MOST_PIPELINED
         if stop != self.stopped_reading and not self.transport.is_closing():
             self.stopped_reading = stop
             (self.transport.pause_reading if stop else self.transport.resume_reading)()
@@ -198,7 +198,7 @@
     def resume_writing(self) -> None:
         self.write_paused = False
         if self.ended:
-            return self.finish()
+            return self.close_when_answered()
         self.wait(True)
         self.parse()
 
@@ -209,10 +209,10 @@
             row = clients.unread
         elif not self.done:
             row = clients.silent
-        elif len(self.answers) < MOST_PIPELINED and self.reader.waiting():
+        elif len(self.pending_replies) < MOST_PIPELINED and self.reader.waiting():
             row = clients.unsaid
-        elif not self.answers:
-            row = clients.idle if self.taken else clients.greeted
+        elif not self.pending_replies:
+            row = clients.idle if self.accepted_count else clients.greeted
         if row is not self.row or anew:
             self.leave()
             if row:
@@ -226,10 +226,10 @@
             self.row.members.pop(self, None)
             self.row = None
 
-    def finish(self) -> None:
+    def close_when_answered(self) -> None:
         """Take nothing more; close once all that was taken is answered and written."""
         self.ended = True
-        if not self.answers:
+        if not self.pending_replies:
             self.transport.close()
         else:
             self.throttle()
@@ -240,7 +240,10 @@
     """The listener and its connections."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, take: Callable[[Sequence[object], Answer], None], most: int
+        self,
+        loop: asyncio.AbstractEventLoop,
+        take: Callable[[Sequence[object], PendingReply], None],
+        most: int,
     ) -> None:
         self.loop, self.take, self.most = loop, take, most
         self.connections: dict[Connection, None] = {}
@@ -285,25 +288,25 @@
         else:
             victim = newest
         self.closed["no room"] += 1
-        victim.finish()
+        victim.close_when_answered()
 
     def trim(self) -> None:
         """Guards against connections kept after one request holding the places others need for theirs."""
         crowded = len(self.idle.members) > IDLE_PART * self.most
         if crowded and (late := self.idle.longest(self.loop.time() - SETTLED_S)):
             self.closed["idle in another's place"] += 1
-            late.finish()
+            late.close_when_answered()
 
     def look(self) -> None:
         """Guards against connections that say nothing, stop half-way or do not read: each has its time."""
         now_s = self.loop.time()
         for row in (self.silent, self.unsaid):
             while late := row.longest(now_s - row.wait_s):
-                late.break_off(row.why)
+                late.close_with_error(row.why)
         for row in (self.greeted, self.idle):
             while late := row.longest(now_s - row.wait_s):
                 self.closed[row.why] += 1
-                late.finish()
+                late.close_when_answered()
         while late := self.unread.longest(now_s - self.unread.wait_s):
             late.leave()
             self.closed[self.unread.why] += 1
@@ -332,8 +335,8 @@
         if not self.connections:
             self.done.set()
         for connection in list(self.connections):
-            if not connection.answers:
-                connection.finish()
+            if not connection.pending_replies:
+                connection.close_when_answered()
 
     def close(self) -> None:
         if self.looker:
--- a/hookport/limits/front.py
+++ b/hookport/limits/front.py
@@ -21,7 +21,7 @@
 
 from aniseshed import interface as api
 from hookport import resp
-from hookport.clients import Answer, Connection
+from hookport.clients import Connection, PendingReply
 from hookport.limits.ledger import Key, Ledger, Taken
 from hookport.limits.session import NOAUTH, Session
 from hookport.limits.users import Users
@@ -50,7 +50,7 @@
     units: float
     key: Key | None  # None: a peek, which nobody remembers
     taken: Taken | None
-    answers: list[Answer] = field(default_factory=list)
+    answers: list[PendingReply] = field(default_factory=list)
     timer: asyncio.TimerHandle | None = None
 
 
@@ -61,7 +61,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         options: Limits,
-        grammar: resp.Grammar,
+        grammar: resp.RequestParser,
         settings: api.Settings,
         door: Door,
         version: str,
@@ -80,7 +80,7 @@
         self.numbers = itertools.count(1)
 
     def command(self, connection: Connection, verb: bytes, words: Sequence[object]) -> bool:
-        """Answer a command; False if it is none of these."""
+        """PendingReply a command; False if it is none of these."""
         session = connection.session
         if session is None:
             session = connection.session = Session(next(self.numbers), self.version)
@@ -91,7 +91,7 @@
             try:
                 self.limit(connection, session, verb, texts)
             except resp.CommandError as error:
-                connection.refuse(str(error))
+                connection.reject_command(str(error))
             return True
         reply = session.answer(verb, texts, self.users.admit)
         if reply is None:
@@ -99,33 +99,33 @@
         if reply.startswith(b"-WRONGPASS"):
             session.wrong += 1
             if session.wrong > MOST_WRONG:
-                connection.break_off("too many wrong secrets")
+                connection.close_with_error("too many wrong secrets")
                 return True
-        connection.push(reply)
+        connection.send_reply(reply)
         if session.ending:
-            connection.finish()
+            connection.close_when_answered()
         return True
 
     def limit(self, connection: Connection, session: Session, verb: bytes, words: Sequence[bytes]) -> None:
         if self.users.users and session.user is None:
-            return connection.push(NOAUTH)
+            return connection.send_reply(NOAUTH)
         if verb == GIVE:
             return self.give(connection, session, words)
-        command = self.grammar.ask(words)
+        command = self.grammar.parse_limit_request(words)
         if not self.users.may(session.user, NAMES[verb], command.customer):
-            return connection.push(NOPERM)
-        connection.taken += 1
+            return connection.send_reply(NOPERM)
+        connection.accepted_count += 1
         fields, key = command.fields, (session.user, command.request_id)
         now_ns, about = self.door.now_ns(), (command.customer, fields)
         if verb == TAKE and (known := self.ledger.find(now_ns, key)):
             return self.repeat(connection, known, about)
         if len(self.pending) >= self.options.most_open:
-            return connection.push(self.refusal(self.settings.max_retry_after_ns))
+            return connection.send_reply(self.refusal(self.settings.max_retry_after_ns))
         pending = Pending(fields.units, None, None)
         if verb == TAKE:
             pending.key, pending.taken = key, self.ledger.open(now_ns, key, about, command.customer)
-        answer = Answer(connection)
-        connection.answers.append(answer)
+        answer = PendingReply(connection)
+        connection.pending_replies.append(answer)
         pending.answers.append(answer)
         deadline_ns = self.settings.classes[fields.index].deadline_ns
         patience_ns = min(command.wait_ms * MS or deadline_ns, deadline_ns)
@@ -142,12 +142,12 @@
         if known.about != about:
             raise resp.CommandError("the id stands for another question")
         if known.answer is not None:
-            return connection.push(known.answer)
+            return connection.send_reply(known.answer)
         waiting = next((p for p in self.pending.values() if p.taken is known), None)
         if waiting is None:
-            return connection.push(self.refusal(0))
-        answer = Answer(connection)
-        connection.answers.append(answer)
+            return connection.send_reply(self.refusal(0))
+        answer = PendingReply(connection)
+        connection.pending_replies.append(answer)
         waiting.answers.append(answer)
 
     def give(self, connection: Connection, session: Session, words: Sequence[bytes]) -> None:
@@ -156,12 +156,12 @@
         now_ns, key = self.door.now_ns(), (session.user, words[1])
         known = self.ledger.find(now_ns, key)
         if not self.users.may(session.user, "give", known.customer if known else None):
-            return connection.push(NOPERM)
-        connection.taken += 1
+            return connection.send_reply(NOPERM)
+        connection.accepted_count += 1
         taken = self.ledger.give_back(now_ns, key)
         if taken:
             self.door.feed(api.GivenBack(taken.customer, taken.units))
-        connection.push(b":1\r\n" if taken else b":0\r\n")
+        connection.send_reply(b":1\r\n" if taken else b":0\r\n")
 
     # From the module
 
@@ -194,7 +194,7 @@
         if pending.taken:
             pending.taken.answer = reply
         for answer in pending.answers:
-            answer.give(reply)
+            answer.complete(reply)
 
     def forgotten(self, request_id: int) -> None:
         """No answer of the module in time: nothing was taken, and the id is free."""
--- a/hookport/membership/members.py
+++ b/hookport/membership/members.py
@@ -34,10 +34,10 @@
 
 
 class Door(Protocol):
-    """What the daemon offers: ``listed`` hands a list on, the others say and look."""
+    """What the daemon offers: ``apply_server_list`` hands a list on, the others say and look."""
 
-    def listed(self, told: ServerList, places: dict[bytes, Address]) -> None: ...
-    def say(self, peer: int | None, payload: bytes) -> None: ...
+    def apply_server_list(self, told: ServerList, places: dict[bytes, Address]) -> None: ...
+    def send_to_peers(self, peer: int | None, payload: bytes) -> None: ...
     def probe(self, server: bytes, ended: Callable[[bool], None]) -> None: ...
 
 
@@ -92,7 +92,7 @@
     # From discovery
 
     def told(self, told: ServerList, places: dict[bytes, Address]) -> None:
-        """In the place of the daemon's own ``listed``."""
+        """In the place of the daemon's own ``apply_server_list``."""
         now_ns = self.now_ns()
         generation = self.discovery.generation if self.discovery else 0
         if told.kind is ListKind.CACHED:
@@ -107,7 +107,7 @@
         if told.kind is ListKind.FAILED:
             silent_s = self.loop.time() - self.discovery.heard_s if self.discovery else 0.0
             self.out(self.fleet.lost(now_ns, now_ns - round(silent_s * SECOND_NS)))
-            return self.door.listed(told, places)
+            return self.door.apply_server_list(told, places)
         self.out(self.fleet.told(now_ns, generation, told, places))
         self.dirty = True
         self.spread_word()
@@ -154,7 +154,7 @@
         if payload == words.ASK:
             if now_s - self.word_s >= WORD_S and (said := words.tell(self.fleet.drained(self.now_ns()))):
                 self.word_s = now_s
-                self.door.say(None, said)
+                self.door.send_to_peers(None, said)
             return
         if drained := words.read(payload):
             self.digests = {s: self.digests.get(s) or words.digest(s) for s in self.fleet.beliefs}
@@ -169,7 +169,7 @@
             self.word_s = self.loop.time()
             said = words.tell(sorted(self.fleet.news))
             self.fleet.news.clear()
-            self.door.say(None, said)
+            self.door.send_to_peers(None, said)
 
     # Time
 
@@ -185,7 +185,7 @@
                 self.probe()
             if self.fleet.state in (State.KEPT, State.CONFIGURATION) and now_s >= self.ask_s:
                 self.ask_s = now_s + self.wait_s(ASK_S)
-                self.door.say(None, words.ASK)
+                self.door.send_to_peers(None, words.ASK)
         self.spread_word()
         if now_s >= self.again_s and (self.dirty or now_s - self.saved_s >= self.options.refresh_s):
             self.save()
@@ -195,7 +195,7 @@
         for line in update.lines:
             log.info("%s", line)
         if update.listed:
-            self.door.listed(update.listed, update.places)
+            self.door.apply_server_list(update.listed, update.places)
 
     def line(self) -> str:
         """How far the servers are trusted, for the log."""
--- a/hookport/node.py
+++ b/hookport/node.py
@@ -12,7 +12,7 @@
 from aniseshed import interface as api
 from aniseshed.policy import Limiter
 from hookport import resp
-from hookport.clients import Answer, Clients
+from hookport.clients import Clients, PendingReply
 from hookport.config import Address, Config
 from hookport.counter import Call, Counter
 from hookport.discovery import Discovery
@@ -38,13 +38,13 @@
 class Open:
     """A request that is owed an answer."""
 
-    __slots__ = ("answer", "attempts", "command", "deadline", "ends_ns", "request_id", "size")
+    __slots__ = ("pending_reply", "attempts", "command", "deadline_timer", "ends_ns", "request_id", "size")
 
-    def __init__(self, request_id: int, command: resp.Command, answer: Answer, ends_ns: int) -> None:
-        self.request_id, self.command, self.answer = request_id, command, answer
+    def __init__(self, request_id: int, command: resp.Command, answer: PendingReply, ends_ns: int) -> None:
+        self.request_id, self.command, self.pending_reply = request_id, command, answer
         self.ends_ns, self.attempts = ends_ns, 0
-        self.size = sum(map(len, command.words))
-        self.deadline: asyncio.TimerHandle | None = None
+        self.size = sum(map(len, command.arguments))
+        self.deadline_timer: asyncio.TimerHandle | None = None
 
 
 class Node:
@@ -67,24 +67,24 @@
         self.clock_ns = unix_ns() - clock_ns()
         self.longest_ns = max((kind.deadline_ns for kind in settings.classes), default=0)
         self.limiter = Limiter(settings, config.seed)
-        self.grammar = resp.Grammar(config.names, settings)
+        self.grammar = resp.RequestParser(config.names, settings)
         self.events: deque[api.Event] = deque()
         self.busy = False
         self.stopping: asyncio.TimerHandle | None = None
-        self.open: dict[int, Open] = {}
+        self.open_requests: dict[int, Open] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}
         self.next_id, self.held_bytes = 0, 0
         self.ids: tuple[set[bytes], set[bytes]] = (set(), set())  # of clients: newer and older
         self.ids_since_ns = 0
         most = max(16, config.sockets - SPARE_SOCKETS)
         connect_s = (settings.connect_timeout_ns or SECOND) / SECOND
-        self.clients = Clients(loop, self.take, round(most * CLIENTS_PART))
+        self.clients = Clients(loop, self.handle_request, round(most * CLIENTS_PART))
         for_servers = most - self.clients.most
         idle_s = config.idle_ns / SECOND
         self.servers = Servers(loop, self.attempt_ended, connect_s, idle_s, for_servers, unread)
         self.members = self.believe() if config.options and config.options.membership else None
         follow, members = not settings.subscribe, self.members
-        told = members.told if members else self.listed
+        told = members.told if members else self.apply_server_list
         more = (members.alive, members.wait_s) if members else ()
         self.discovery = Discovery(loop, config.discovery, config.names, told, connect_s, follow, *more)
         if members:
@@ -97,9 +97,11 @@
         if config.peer_listen:
             from hookport.peers import Peers  # only here: without peers it costs nothing
 
-            self.peers = Peers(loop, config.peers, config.peers_all, settings.index, self.peer_said)
-        self.front = self.take_asks() if config.options and config.options.limits else None
-        self.clients.front = self.front
+            self.peers = Peers(
+                loop, config.peers, config.peers_all, settings.index, self.peer_message_received
+            )
+        self.limit_commands = self.take_asks() if config.options and config.options.limits else None
+        self.clients.front = self.limit_commands
         self.doers: dict[type, Callable[[Any], None]] = {
             api.Send: self.send,
             api.Refuse: self.refuse,
@@ -183,11 +185,11 @@
 
     def answer_all(self) -> None:
         """Guards against requests whose clients would wait longer than this process is let live."""
-        for request_id in list(self.open):
-            if request_id in self.open:
+        for request_id in list(self.open_requests):
+            if request_id in self.open_requests:
                 self.overdue(request_id)
-        if self.front:
-            self.front.answer_all()
+        if self.limit_commands:
+            self.limit_commands.answer_all()
 
     def now_ns(self) -> int:
         return self.monotonic_ns() + self.clock_ns
@@ -208,7 +210,7 @@
                     # Guards against one event taking all others down: told in full, and the request fails.
                     log.exception("the module failed on %s", type(event).__name__)
                     request_id = getattr(event, "request_id", None)
-                    if request_id in self.open:
+                    if request_id in self.open_requests:
                         self.answer(request_id, resp.error("internal error"))
                         self.events.append(api.HungUp(request_id))  # the module may hold it yet
         finally:
@@ -216,21 +218,21 @@
 
     # From clients
 
-    def take(self, words: Sequence[object], answer: Answer) -> None:
+    def handle_request(self, words: Sequence[object], answer: PendingReply) -> None:
         command = self.grammar.parse(words)
         self.once(command.request_id)
         fields = command.fields
         full = self.held_bytes > BODY_PART * self.config.memory_bytes
-        if full or len(self.open) >= (self.settings.max_held or 20_000):
-            return answer.give(resp.busy(self.settings.max_retry_after_ns))
+        if full or len(self.open_requests) >= (self.settings.max_held or 20_000):
+            return answer.complete(resp.busy(self.settings.max_retry_after_ns))
         deadline_ns = self.settings.classes[fields.index].deadline_ns
         patience_ns = min(max(1, command.wait_ms - MARGIN_MS) * MS, deadline_ns)
         request_id = self.new_id()
         now_ns = self.now_ns()
         request = Open(request_id, command, answer, now_ns + patience_ns)
-        self.open[request_id] = request
+        self.open_requests[request_id] = request
         self.held_bytes += request.size
-        request.deadline = self.loop.call_later(patience_ns / SECOND, self.overdue, request_id)
+        request.deadline_timer = self.loop.call_later(patience_ns / SECOND, self.overdue, request_id)
         answer.gone = lambda: self.hung_up(request_id)
         self.feed(command.request(request_id, patience_ns))
 
@@ -249,29 +251,29 @@
             raise resp.CommandError("the id is in use")
         self.ids[0].add(client_id)
 
-    def forget(self, request_id: int) -> Open | None:
-        request = self.open.pop(request_id, None)
+    def remove_request(self, request_id: int) -> Open | None:
+        request = self.open_requests.pop(request_id, None)
         if request:
             self.held_bytes -= request.size
-            if request.deadline:
-                request.deadline.cancel()
+            if request.deadline_timer:
+                request.deadline_timer.cancel()
         return request
 
     def answer(self, request_id: int, reply: bytes) -> None:
-        if request := self.forget(request_id):
-            request.answer.give(reply)
+        if request := self.remove_request(request_id):
+            request.pending_reply.complete(reply)
 
     def hung_up(self, request_id: int) -> None:
-        if self.forget(request_id):
+        if self.remove_request(request_id):
             self.feed(api.HungUp(request_id))
 
     def overdue(self, request_id: int) -> None:
         """No more time: attempts end as timed out, and the module has the last word."""
-        request = self.open[request_id]
+        request = self.open_requests[request_id]
         for number in range(request.attempts):
             if attempt := self.attempts.get((request_id, number)):
                 self.servers.give_up(attempt, api.Outcome.TIMEOUT)
-        if request_id in self.open:
+        if request_id in self.open_requests:
             log.warning("a request was still held at its deadline")
             self.answer(request_id, resp.error("timed out"))
             self.feed(api.HungUp(request_id))
@@ -279,7 +281,7 @@
     # Attempts
 
     def send(self, action: api.Send) -> None:
-        request = self.open[action.request_id]
+        request = self.open_requests[action.request_id]
         number, request.attempts = request.attempts, request.attempts + 1
         now_ns = self.now_ns()
         until_ns = min(action.until_ns or request.ends_ns, request.ends_ns)
@@ -307,7 +309,7 @@
                 server=attempt.server,
                 outcome=outcome,
                 elapsed_ns=self.now_ns() - attempt.sent_ns,
-                concluded=request_id not in self.open,
+                concluded=request_id not in self.open_requests,
                 meter=0,
                 settled_units=0,
                 report=(),
@@ -319,13 +321,13 @@
     # Other actions and facts
 
     def refuse(self, action: api.Refuse) -> None:
-        if self.front and self.front.refused(action.request_id, action.retry_after_ns):
+        if self.limit_commands and self.limit_commands.refused(action.request_id, action.retry_after_ns):
             return
         self.answer(action.request_id, resp.busy(action.retry_after_ns))
 
     def verdict(self, action: api.Verdict) -> None:
-        if self.front:
-            self.front.verdict(action)
+        if self.limit_commands:
+            self.limit_commands.verdict(action)
 
     def fail(self, action: api.Fail) -> None:
         self.answer(action.request_id, resp.error("failed"))
@@ -345,30 +347,30 @@
         self.feed(api.Counted(call.name, outcome, total, elapsed_ns, call.number))
 
     def tell(self, action: api.Tell) -> None:
-        self.say(action.peer, action.payload)
+        self.send_to_peers(action.peer, action.payload)
 
-    def say(self, peer: int | None, payload: bytes) -> None:
+    def send_to_peers(self, peer: int | None, payload: bytes) -> None:
         if self.peers:
             self.peers.tell(peer, payload)
 
     def probe(self, server: bytes, ended: Callable[[bool], None]) -> None:
         self.servers.probe(server, ended)
 
-    def peer_said(self, sender: int, payload: bytes) -> None:
+    def peer_message_received(self, sender: int, payload: bytes) -> None:
         if self.members and payload.startswith(b"F"):
             return self.members.word(payload)
         self.feed(api.PeerMessage(sender, payload))
 
-    def listed(self, told: api.ServerList, places: dict[bytes, Address]) -> None:
+    def apply_server_list(self, told: api.ServerList, places: dict[bytes, Address]) -> None:
         if told.kind in (api.ListKind.FULL, api.ListKind.CACHED):
             for server in [s for s in self.servers.places if s not in places]:
-                self.servers.forget(server)
+                self.servers.remove_server(server)
         for entry in told.entries:
             if entry.health is not api.Health.GONE:
                 self.servers.learn(entry.server, places[entry.server], entry.born_ns)
         self.feed(told)
         for entry in told.entries:
             if entry.health is api.Health.GONE:
-                self.servers.forget(entry.server)
+                self.servers.remove_server(entry.server)
             elif entry.health is api.Health.DRAINING:
-                self.servers.leave(entry.server)
+                self.servers.stop_sending(entry.server)
--- a/hookport/rehearsal/mutants.py
+++ b/hookport/rehearsal/mutants.py
@@ -66,8 +66,8 @@
     def make(old: Any) -> Any:
         def send(self: Any, action: api.Send) -> None:
             old(self, action)
-            if action.request_id in self.open and now_and_then():
-                request = self.open[action.request_id]
+            if action.request_id in self.open_requests and now_and_then():
+                request = self.open_requests[action.request_id]
                 twin = servers.Attempt(0, 99, action.server, request.command.forward(500), self.now_ns())
                 self.servers.send(twin)
 
@@ -86,12 +86,12 @@
 
 def answers_twice() -> None:
     def make(old: Any) -> Any:
-        def give(self: Any, reply: bytes) -> None:
+        def complete(self: Any, reply: bytes) -> None:
             old(self, reply + reply if now_and_then() and reply.startswith(b"$") else reply)
 
-        return give
+        return complete
 
-    patch(clients.Answer, "give", make)
+    patch(clients.PendingReply, "complete", make)
 
 
 def ignores_drains() -> None:
@@ -103,20 +103,20 @@
         return apply_list
 
     patch(policy, "apply_list", make)
-    patch(servers.Servers, "leave", lambda old: lambda self, server: None)
-    patch(servers.Servers, "forget", lambda old: lambda self, server: None)
+    patch(servers.Servers, "stop_sending", lambda old: lambda self, server: None)
+    patch(servers.Servers, "remove_server", lambda old: lambda self, server: None)
 
 
 def drains_late() -> None:
     """Hears of drains two seconds late."""
 
     def make(old: Any) -> Any:
-        def listed(self: Any, told: api.ServerList, places: Any) -> None:
+        def apply_server_list(self: Any, told: api.ServerList, places: Any) -> None:
             self.loop.call_later(2.0, old, self, told, places)
 
-        return listed
+        return apply_server_list
 
-    patch(node.Node, "listed", make)
+    patch(node.Node, "apply_server_list", make)
 
 
 def loses_at_sigterm() -> None:
@@ -212,13 +212,13 @@
 
 def never_answers() -> None:
     def make(old: Any) -> Any:
-        def give(self: Any, reply: bytes) -> None:
+        def complete(self: Any, reply: bytes) -> None:
             if not now_and_then():
                 old(self, reply)
 
-        return give
+        return complete
 
-    patch(clients.Answer, "give", make)
+    patch(clients.PendingReply, "complete", make)
 
 
 def answers_late() -> None:
@@ -228,8 +228,8 @@
         def refuse(self: Any, action: api.Refuse) -> None:
             if now_and_then():
                 self.loop.call_later(2.2, old, self, action)
-                if request := self.open.get(action.request_id):
-                    request.deadline.cancel()
+                if request := self.open_requests.get(action.request_id):
+                    request.deadline_timer.cancel()
             else:
                 old(self, action)
 
@@ -243,8 +243,8 @@
 
     def make(old: Any) -> Any:
         def refuse(self: Any, action: api.Refuse) -> None:
-            if now_and_then() and (request := self.forget(action.request_id)):
-                request.answer.connection.transport.abort()
+            if now_and_then() and (request := self.remove_request(action.request_id)):
+                request.pending_reply.connection.transport.abort()
             else:
                 old(self, action)
 
@@ -257,13 +257,13 @@
     kept: list[bytes] = []
 
     def make(old: Any) -> Any:
-        def take(self: Any, words: Any, answer: Any) -> None:
+        def handle_request(self: Any, words: Any, answer: Any) -> None:
             kept.append(os.urandom(LEAK_BYTES))
             old(self, words, answer)
 
-        return take
+        return handle_request
 
-    patch(node.Node, "take", make)
+    patch(node.Node, "handle_request", make)
 
 
 def changes_commands() -> None:
@@ -272,7 +272,7 @@
     def make(old: Any) -> Any:
         def forward(self: Any, wait_ms: int) -> bytes:
             text: bytes = old(self, wait_ms)
-            return text.replace(self.words[2], self.words[2][::-1]) if now_and_then() else text
+            return text.replace(self.arguments[2], self.arguments[2][::-1]) if now_and_then() else text
 
         return forward
 
@@ -281,19 +281,19 @@
 
 def leaves_bad_clients() -> None:
     """Says nothing to clients that send what cannot be read."""
-    patch(clients.Connection, "break_off", lambda old: lambda self, why: None)
+    patch(clients.Connection, "close_with_error", lambda old: lambda self, why: None)
 
 
 def crashes() -> None:
     def make(old: Any) -> Any:
-        def take(self: Any, words: Any, answer: Any) -> None:
+        def handle_request(self: Any, words: Any, answer: Any) -> None:
             if CHANCE.randrange(200) == 0:
                 os._exit(3)
             old(self, words, answer)
 
-        return take
+        return handle_request
 
-    patch(node.Node, "take", make)
+    patch(node.Node, "handle_request", make)
 
 
 def forgets_ejection() -> None:
--- a/hookport/resp.py
+++ b/hookport/resp.py
@@ -145,7 +145,7 @@
 class Command:
     """A client's request, as written and as understood."""
 
-    words: Sequence[bytes]
+    arguments: Sequence[bytes]
     before: bytes  # of the list: what stands before and after the wait
     after: bytes
     customer: int
@@ -154,7 +154,7 @@
 
     @property
     def request_id(self) -> bytes:
-        return self.words[2]
+        return self.arguments[2]
 
     def request(self, request_id: int, patience_ns: int, ask: Ask = Ask.SEND) -> Request:
         """The event that tells the module of it."""
@@ -174,7 +174,7 @@
 
     def forward(self, wait_ms: int) -> bytes:
         """The same for a server, with how long the limiter will wait."""
-        verb, customer, request_id, _, *body = self.words
+        verb, customer, request_id, _, *body = self.arguments
         listed = b"%sd=%d%s" % (self.before, wait_ms, self.after)
         return pack((verb, customer, request_id, listed, *body))
 
@@ -212,7 +212,7 @@
     return float(text)
 
 
-class Grammar:
+class RequestParser:
     """Reads SVC.QUERY and SVC.SUBMIT; anything that a server would not take raises CommandError."""
 
     def __init__(self, names: Names, settings: Settings) -> None:
@@ -228,7 +228,7 @@
             raise CommandError("wrong number of arguments")
         return self.read(texts, submit)
 
-    def ask(self, words: Sequence[bytes]) -> Command:
+    def parse_limit_request(self, words: Sequence[bytes]) -> Command:
         """A question about a quota: the same of any class; without ``d`` its ``wait_ms`` is 0."""
         if len(words) != 4:
             raise CommandError("wrong number of arguments")
--- a/hookport/servers.py
+++ b/hookport/servers.py
@@ -165,9 +165,9 @@
         self.places[server] = place
         self.draining.discard(server)
 
-    def forget(self, server: bytes) -> None:
+    def remove_server(self, server: bytes) -> None:
         self.places.pop(server, None)
-        self.leave(server)
+        self.stop_sending(server)
         self.draining.discard(server)
 
     def cool(self, server: bytes) -> None:
@@ -175,7 +175,7 @@
         for link in self.idle.pop(server, ()):
             link.transport.abort()
 
-    def leave(self, server: bytes) -> None:
+    def stop_sending(self, server: bytes) -> None:
         """Guards against a late connection carrying a new attempt to a server that drains or is gone."""
         self.draining.add(server)
         self.cool(server)
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -106,7 +106,7 @@
             client.writer.write(b"noise\r\n")
             said = await ended(client)
             assert said[0].startswith("ERR failed") and said[1] == "b'PONG'" and said[2].startswith("ERR ")
-            assert not node.open and not node.limiter.work
+            assert not node.open_requests and not node.limiter.work
 
     run(scenario)
 
@@ -200,7 +200,7 @@
             node = (await world.start()).node
             assert node
             node.clients.unread.wait_s = 0.05
-            node.clients.take = lambda words, answer: answer.give(resp.bulk(b"x" * 60000))
+            node.clients.take = lambda words, answer: answer.complete(resp.bulk(b"x" * 60000))
             client = await world.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             for n in range(1000):
@@ -220,9 +220,9 @@
             assert node
             take = node.clients.take
 
-            def count(words: object, answer: clients.Answer) -> None:
+            def count(words: object, answer: clients.PendingReply) -> None:
                 nonlocal most
-                most = max(most, len(answer.connection.answers))
+                most = max(most, len(answer.connection.pending_replies))
                 take(words, answer)  # type: ignore[arg-type]
 
             node.clients.take = count
--- a/tests/test_bad_servers.py
+++ b/tests/test_bad_servers.py
@@ -6,7 +6,7 @@
 
 import pytest
 import uvloop
-from world import VALUE, Stub, World, change, never, row, saying, serve, soon, submit, until
+from world import VALUE, Stub, World, instance, list_update, never, saying, serve, soon, submit, until
 
 from aniseshed.interface import Outcome
 from hookport import counter, resp, servers
@@ -101,12 +101,16 @@
             pool, port = node.servers, world.stubs[0].port
             await until(lambda: world.discovery.watches)
             for n in range(2, 40):
-                world.discovery.push(change(n, row(f"s-{n}", port), row(f"s-{n - 1}", port, "DELETED")))
+                world.discovery.push(
+                    list_update(n, instance(f"s-{n}", port), instance(f"s-{n - 1}", port, "DELETED"))
+                )
                 await until(lambda n=n: list(pool.places)[-1:] == [b"s-%d" % n])  # type: ignore[misc]
                 assert await client.ask(*submit(n)) == b"value"
-            world.discovery.push(change(40, row("s-39", port, "DRAINING")))
+            world.discovery.push(list_update(40, instance("s-39", port, "DRAINING")))
             await until(lambda: pool.draining)
-            world.discovery.push(change(41, row("s-39", port, "DELETED"), row("s-0", port, "DELETED")))
+            world.discovery.push(
+                list_update(41, instance("s-39", port, "DELETED"), instance("s-0", port, "DELETED"))
+            )
             await until(lambda: not pool.places and not pool.links)
             assert not pool.draining and not pool.idle and not node.limiter.servers
             assert not node.attempts and not node.limiter.flights
@@ -126,7 +130,7 @@
             await until(lambda: world.discovery.watches)
             client.send(*submit())
             await until(lambda: world.stubs[0].commands)
-            world.discovery.push(change(2, row("s-0", world.stubs[0].port, "DELETED")))
+            world.discovery.push(list_update(2, instance("s-0", world.stubs[0].port, "DELETED")))
             await until(lambda: not node.servers.places)
             world.stubs[0].release.set()
             assert await client.answer() == b"value"
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -184,7 +184,7 @@
 def test_questions_in_flight_at_sigterm_get_one_answer_each() -> None:
     async def scenario(world: World) -> None:
         client = await world.client()
-        front = world.node.front  # type: ignore[union-attr]
+        front = world.node.limit_commands  # type: ignore[union-attr]
         assert front
         front.door.feed = lambda event: None  # the module says nothing any more
         client.send(*take(b"a"))
@@ -218,7 +218,7 @@
 
 def test_more_questions_than_may_be_open_are_refused_at_once() -> None:
     async def scenario(world: World) -> None:
-        front = world.node.front  # type: ignore[union-attr]
+        front = world.node.limit_commands  # type: ignore[union-attr]
         assert front
         client, late = await world.client(), await world.client()
         feed, front.door.feed = front.door.feed, lambda event: None
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from world import change, row
+from world import instance, list_update
 
 from aniseshed.interface import Health, ListKind
 from hookport.config import Names
@@ -37,8 +37,8 @@
 @pytest.mark.parametrize("indent", [None, 0, 1, 4, "\t"])
 @pytest.mark.parametrize("piece", [1, 7, 1000])
 def test_a_list_may_come_indented_and_in_any_pieces(indent: int | str | None, piece: int) -> None:
-    first = json.loads(change(1, row('s-"{[\\', 1), row("s-2", 2), whole=True))
-    second = json.loads(change(2, row("s-3", 3, "DRAINING")))
+    first = json.loads(list_update(1, instance('s-"{[\\', 1), instance("s-2", 2), full=True))
+    second = json.loads(list_update(2, instance("s-3", 3, "DRAINING")))
     told = [json.dumps(one, indent=indent).encode() for one in (first, second)]
     sent = b"\n\n" + b"\n\n".join(told) + b"\n"
     lines = watched(*(sent[at : at + piece] for at in range(0, len(sent), piece)))
@@ -47,7 +47,10 @@
 
 
 def test_what_closes_more_than_it_opens_is_told_as_it_came() -> None:
-    assert watched(b"}\n", change(1, row("s-1", 1)) + b"\n") == [b"}", change(1, row("s-1", 1))]
+    assert watched(b"}\n", list_update(1, instance("s-1", 1)) + b"\n") == [
+        b"}",
+        list_update(1, instance("s-1", 1)),
+    ]
 
 
 def test_an_object_that_breaks_off_is_no_list() -> None:
@@ -63,34 +66,36 @@
 @pytest.mark.parametrize(
     ("entry", "told"),
     [
-        ({**row("s-2", 2), "lifecycle": "BORED"}, "instances[1] is left out: ValueError: unknown"),
-        ({**row("s-2", 2), "hostPort": "nowhere"}, "instances[1] is left out"),
-        ({**row("s-2", 2), "startedAtMs": "soon"}, "instances[1] is left out"),
+        ({**instance("s-2", 2), "lifecycle": "BORED"}, "instances[1] is left out: ValueError: unknown"),
+        ({**instance("s-2", 2), "hostPort": "nowhere"}, "instances[1] is left out"),
+        ({**instance("s-2", 2), "startedAtMs": "soon"}, "instances[1] is left out"),
         ({"lifecycle": "SERVING"}, "instances[1] is left out: KeyError: 'instanceId'"),
         (None, "instances[1] is left out"),
     ],
 )
 def test_an_entry_that_cannot_be_used_is_named_and_the_rest_is_used(entry: Any, told: str) -> None:
-    used, wrong = read(row("s-1", 1), entry, row("s-3", 3))
+    used, wrong = read(instance("s-1", 1), entry, instance("s-3", 3))
     assert list(used) == ["s-1", "s-3"]
     assert len(wrong) == 1 and wrong[0].startswith(told)
 
 
 @pytest.mark.parametrize("weight", [0, -1, float("nan"), float("inf")])
 def test_a_weight_that_is_none_counts_as_one_and_is_named(weight: float) -> None:
-    used, wrong = read({**row("s-1", 1), "weight": weight})
+    used, wrong = read({**instance("s-1", 1), "weight": weight})
     assert list(used) == ["s-1"] and len(wrong) == 1 and "s-1 has weight" in wrong[0]
 
 
 def test_of_two_servers_at_one_address_the_one_that_started_last_is_used() -> None:
-    used, wrong = read(row("s-new", 1, started=2000), row("s-old", 1, started=1000), row("s-3", 3))
+    used, wrong = read(
+        instance("s-new", 1, started_ms=2000), instance("s-old", 1, started_ms=1000), instance("s-3", 3)
+    )
     assert list(used) == ["s-new", "s-3"] and len(wrong) == 1 and "s-old and s-new are both at" in wrong[0]
-    used, wrong = read(row("s-old", 1, "DRAINING"), row("s-new", 1, started=2000))
+    used, wrong = read(instance("s-old", 1, "DRAINING"), instance("s-new", 1, started_ms=2000))
     assert used == {"s-old": Health.DRAINING, "s-new": Health.READY} and not wrong
 
 
 def test_a_thousand_servers_are_read_whole() -> None:
-    used, wrong = read(*(row(f"s-{n}", 1 + n) for n in random.Random(1).sample(range(60_000), 1024)))
+    used, wrong = read(*(instance(f"s-{n}", 1 + n) for n in random.Random(1).sample(range(60_000), 1024)))
     assert len(used) == 1024 and not wrong
 
 
@@ -105,7 +110,7 @@
         loop = asyncio.get_running_loop()
         discovery = Discovery(loop, ("127.0.0.1", 1), NAMES, lambda *_: None, 1.0, False)
         for generation in range(3):
-            discovery.line(change(generation, {**row("s-1", 1), "lifecycle": "BORED"}, whole=True))
+            discovery.line(list_update(generation, {**instance("s-1", 1), "lifecycle": "BORED"}, full=True))
         discovery.close()
 
     asyncio.run(scenario())
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 import pytest
-from world import Discovery, World, change, never, query, row, saying, serve, soon, submit, until
+from world import Discovery, World, instance, list_update, never, query, saying, serve, soon, submit, until
 
 from aniseshed.interface import Health, ServerEntry, Trust
 from hookport import config
@@ -81,7 +81,7 @@
             assert all(stub.commands for stub in world.stubs)
             await until(lambda: world.discovery.watches)
             assert b"index=0" in world.discovery.requests[0], "the whole list: what was missed is not known"
-            world.discovery.push(change(9, row("s-0", world.stubs[0].port), whole=True))
+            world.discovery.push(list_update(9, instance("s-0", world.stubs[0].port), full=True))
             await until(lambda: node.members and node.members.fleet.live)
             before = len(world.stubs[1].commands)
             for n in range(11, 31):
@@ -109,12 +109,14 @@
             await dark(world, tmp_path / "k").start()
             node, new = world.node, await Discovery().start()
             assert node and node.members
-            told = {**world.told(), "discovery": f"127.0.0.1:{new.port}"}
+            told = {**world.configuration(), "discovery": f"127.0.0.1:{new.port}"}
             node.reconfigure(replace(config.read(told, {}), options=world.options))
             await until(lambda: new.watches)
             client = await world.client()
             assert await client.ask(*query(1)) == b"value"
-            new.push(change(900, *(row(f"s-{n}", s.port) for n, s in enumerate(world.stubs)), whole=True))
+            new.push(
+                list_update(900, *(instance(f"s-{n}", s.port) for n, s in enumerate(world.stubs)), full=True)
+            )
             await until(lambda: node.members and node.members.fleet.live)
             for n in range(2, 12):
                 assert await client.ask(*query(n)) == b"value"
@@ -169,7 +171,7 @@
             node = world.node
             assert node and node.members
             await until(lambda: world.discovery.watches)
-            world.discovery.push(change(9, row("s-0", world.stubs[0].port), whole=True))
+            world.discovery.push(list_update(9, instance("s-0", world.stubs[0].port), full=True))
             await until(lambda: node.members and node.members.failures >= 2)
             assert await (await world.client()).ask(*query(1)) == b"value"
             (tmp_path / "none").mkdir()
@@ -200,23 +202,23 @@
             node = world.node
             assert node and node.members
             said: list[bytes] = []
-            node.members.door.say = lambda peer, payload: said.append(payload)  # type: ignore[method-assign]
+            node.members.door.send_to_peers = lambda peer, payload: said.append(payload)  # type: ignore[method-assign]
             await until(lambda: words.ASK in said)
-            node.peer_said(1, words.tell([b"s-0"]))
+            node.peer_message_received(1, words.tell([b"s-0"]))
             client = await world.client()
             for n in range(1, 9):
                 assert await client.ask(*query(n)) == b"value"
             assert not world.stubs[0].commands
             await until(lambda: world.discovery.watches)
-            rows = [row("s-0", world.stubs[0].port), row("s-1", world.stubs[1].port)]
-            world.discovery.push(change(9, *rows, whole=True))
-            world.discovery.push(change(10, row("s-1", world.stubs[1].port, "DRAINING")))
+            rows = [instance("s-0", world.stubs[0].port), instance("s-1", world.stubs[1].port)]
+            world.discovery.push(list_update(9, *rows, full=True))
+            world.discovery.push(list_update(10, instance("s-1", world.stubs[1].port, "DRAINING")))
             await until(lambda: words.tell([b"s-1"]) in said)
             node.members.word_s = 0.0
             said.clear()
-            node.peer_said(1, words.ASK)
+            node.peer_message_received(1, words.ASK)
             assert said == [words.tell([b"s-1"])]
-            node.peer_said(1, words.ASK)
+            node.peer_message_received(1, words.ASK)
             assert len(said) == 1, "one a second"
 
     asyncio.run(scenario())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -5,7 +5,7 @@
 import pathlib
 import signal
 
-from world import Discovery, Stub, World, change, hold, query, row, saying, serve, soon, until
+from world import Discovery, Stub, World, hold, instance, list_update, query, saying, serve, soon, until
 
 from aniseshed.interface import Counted, Outcome
 from hookport import config
@@ -17,18 +17,18 @@
             node, new = (await world.start()).node, await Discovery().start()
             assert node
             await until(lambda: world.discovery.watches)
-            world.discovery.push(change(7, row("s-0", world.stubs[0].port), whole=True))
+            world.discovery.push(list_update(7, instance("s-0", world.stubs[0].port), full=True))
             await until(lambda: node.discovery.generation == 7)
             client = await world.client()
             client.send(*query(1))
             await until(lambda: world.stubs[0].commands)
-            told = {**world.told(), "discovery": f"127.0.0.1:{new.port}"}
+            told = {**world.configuration(), "discovery": f"127.0.0.1:{new.port}"}
             node.reconfigure(config.read(told, {}))
             await until(lambda: new.requests)
             assert b"index=0" in new.requests[0]  # versions of another place mean nothing: the whole list
             world.stubs[0].release.set()
             assert await client.answer() == b"value"
-            new.push(change(3, row("s-0", world.stubs[0].port), whole=True))
+            new.push(list_update(3, instance("s-0", world.stubs[0].port), full=True))
             await until(lambda: node.discovery.generation == 3)
             assert await client.ask(*query(2)) == b"value"
             assert len(world.stubs[0].writers) == 1
@@ -52,7 +52,7 @@
             node.counter.timeout_s = 20.0
             node.counter.call(5, 1.0, 1000)
             await until(lambda: world.counter.commands)
-            told = {**world.told(), "counter": f"127.0.0.1:{new.port}"}
+            told = {**world.configuration(), "counter": f"127.0.0.1:{new.port}"}
             node.reconfigure(config.read(told, {}))
             assert [e.outcome for e in events] == [Outcome.TIMEOUT]  # it may have been added
             node.counter.call(5, 1.0, 1000)
@@ -84,7 +84,7 @@
             assert process and process.stderr
             client, new = await world.client(), await Discovery().start()
             assert await client.ask(*query(1)) == b"value"
-            good = {**world.told(), "discovery": f"127.0.0.1:{new.port}"}
+            good = {**world.configuration(), "discovery": f"127.0.0.1:{new.port}"}
             for text in ("", "{}", json.dumps({**good, "counter": "nowhere"})):
                 path.write_text(text)
                 process.send_signal(signal.SIGHUP)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -10,12 +10,12 @@
     VALUE,
     Stub,
     World,
-    change,
     hold,
+    instance,
+    list_update,
     never,
     query,
     reset,
-    row,
     saying,
     serve,
     submit,
@@ -165,7 +165,9 @@
             client = await (await world.start()).client()
             assert await client.ask(*submit()) == b"value"
             await until(lambda: world.discovery.watches)
-            world.discovery.push(change(2, row("s-0", world.stubs[0].port, started=1_700_000_000_000)))
+            world.discovery.push(
+                list_update(2, instance("s-0", world.stubs[0].port, started_ms=1_700_000_000_000))
+            )
             await until(lambda: world.stubs[0].closed == 1)
             assert await client.ask(*submit(2)) == b"value"
             assert len(world.stubs[0].writers) == 2
@@ -194,11 +196,11 @@
 def test_a_known_list_that_cannot_be_read_leaves_it_to_the_watch() -> None:
     async def scenario() -> None:
         async with World(serve) as world:
-            told = world.told()
-            world.told = lambda: {**told, "known": {"instances": 5}}  # type: ignore[method-assign]
+            told = world.configuration()
+            world.configuration = lambda: {**told, "known": {"instances": 5}}  # type: ignore[method-assign]
             client = await (await world.start()).client()
             await until(lambda: world.discovery.watches)
-            world.discovery.push(change(2, row("s-0", world.stubs[0].port), whole=True))
+            world.discovery.push(list_update(2, instance("s-0", world.stubs[0].port), full=True))
             await until(lambda: world.node and world.node.limiter.servers)
             assert await client.ask(*query()) == b"value"
 
@@ -316,7 +318,7 @@
             client = await (await world.start()).client()
             assert str(await client.ask(*submit(wait_ms=300))) == "ERR failed"
             await until(lambda: world.stubs[0].closed == 1)
-            assert world.node and not world.node.open and not world.node.attempts
+            assert world.node and not world.node.open_requests and not world.node.attempts
 
     run(scenario)
 
@@ -361,7 +363,9 @@
             client.writer.close()
             assert world.node
             limiter = world.node
-            await until(lambda: not limiter.open and not limiter.attempts and not limiter.servers.links)
+            await until(
+                lambda: not limiter.open_requests and not limiter.attempts and not limiter.servers.links
+            )
             assert limiter.held_bytes == 0 and not limiter.clients.connections
 
     run(scenario)
@@ -458,7 +462,7 @@
             await until(lambda: world.discovery.watches)
             assert b"GET /v1/endpoints?stream=1&index=1 " in world.discovery.requests[0]
             world.discovery.push(b"")
-            world.discovery.push(change(2, row("s-0", first.port, "DRAINING")))
+            world.discovery.push(list_update(2, instance("s-0", first.port, "DRAINING")))
             assert world.node
             servers = world.node.limiter.servers
             await until(lambda: servers[b"s-0"].entry.health == 2)
@@ -466,7 +470,9 @@
             for n in range(6):
                 assert await client.ask(*query(n, customer=n)) == b"value"
             assert not first.commands and len(second.commands) == 6
-            world.discovery.push(change(3, row("s-0", first.port, started=1_800_000_000_000), whole=True))
+            world.discovery.push(
+                list_update(3, instance("s-0", first.port, started_ms=1_800_000_000_000), full=True)
+            )
             await until(lambda: b"s-1" not in servers)
             assert servers[b"s-0"].born_ns == 1_800_000_000_000 * 10**6
             assert list(world.node.servers.places) == [b"s-0"]
@@ -494,9 +500,9 @@
             await until(lambda: servers.opening)
             (attempt,) = servers.opening
             drained = world.stubs[int(attempt.server[2:])]
-            limiter.listed(*discovery.read_list(
+            limiter.apply_server_list(*discovery.read_list(
                 {"generation": 2, "reset": False,
-                 "instances": [row(attempt.server.decode(), drained.port, "DRAINING")]},
+                 "instances": [instance(attempt.server.decode(), drained.port, "DRAINING")]},
                 limiter.config.names, discovery.ListKind.FULL)[1:])  # fmt: skip
             gate.set()
             assert await client.answer() == b"value"
@@ -544,7 +550,9 @@
 
             def settled() -> bool:
                 connection = connection_of(world)
-                return connection.stopped_reading or (len(sent(world)) == asked and not connection.answers)
+                return connection.stopped_reading or (
+                    len(sent(world)) == asked and not connection.pending_replies
+                )
 
             await until(lambda: world.node and world.node.clients.connections)
             while not connection_of(world).stopped_reading:
--- a/tests/world.py
+++ b/tests/world.py
@@ -28,8 +28,8 @@
 )
 
 __all__ = [
-    "VALUE", "Client", "Discovery", "Handler", "Stub", "World", "change", "hold", "never", "query", "reset",
-    "row", "saying", "serve", "settings", "soon", "submit", "until",
+    "VALUE", "Client", "Discovery", "Handler", "Stub", "World", "list_update", "hold", "never", "query",
+    "reset", "instance", "saying", "serve", "settings", "soon", "submit", "until",
 ]  # fmt: skip
 
 MS = 1_000_000
@@ -63,7 +63,7 @@
     }
 
 
-def row(name: str, port: int, state: str = "SERVING", started: int = 0) -> dict[str, Any]:
+def instance(name: str, port: int, state: str = "SERVING", started_ms: int = 0) -> dict[str, Any]:
     return {
         "instanceId": name,
         "hostPort": f"127.0.0.1:{port}",
@@ -72,12 +72,12 @@
         "cell": 0,
         "lifecycle": state,
         "weight": 1.0,
-        "startedAtMs": started,
+        "startedAtMs": started_ms,
     }
 
 
-def change(generation: int, *rows: dict[str, Any], whole: bool = False) -> bytes:
-    return json.dumps({"generation": generation, "reset": whole, "instances": list(rows)}).encode()
+def list_update(generation: int, *rows: dict[str, Any], full: bool = False) -> bytes:
+    return json.dumps({"generation": generation, "reset": full, "instances": list(rows)}).encode()
 
 
 class World:
@@ -99,8 +99,8 @@
         await self.discovery.start()
         return self
 
-    def told(self) -> dict[str, Any]:
-        listed = [row(f"s-{n}", stub.port) for n, stub in enumerate(self.stubs) if self.known]
+    def configuration(self) -> dict[str, Any]:
+        listed = [instance(f"s-{n}", stub.port) for n, stub in enumerate(self.stubs) if self.known]
         return {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -108,12 +108,12 @@
             "counter": f"127.0.0.1:{self.counter.port}",
             "seed": "8c1f30d27a5be964",
             "limits": {"memory_mb": 192, "sockets": 1024},
-            "known": json.loads(change(1, *listed, whole=True)),
+            "known": json.loads(list_update(1, *listed, full=True)),
             "settings": settings(**self.plan),
         }
 
     async def start(self) -> World:
-        config: Config = replace(read(self.told(), {}), options=self.options)
+        config: Config = replace(read(self.configuration(), {}), options=self.options)
         self.node = Node(config, asyncio.get_running_loop())
         await self.node.start()
         assert self.node.clients.server
@@ -123,7 +123,7 @@
     async def spawn(self, folder: os.PathLike[str]) -> World:
         path = os.path.join(folder, "config.json")
         with open(path, "w") as file:
-            json.dump(self.told(), file)
+            json.dump(self.configuration(), file)
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "hookport",
             env={**os.environ, "PROXY_CONFIG": path},
