--- a/hookport/limits/front.py
+++ b/hookport/limits/front.py
@@ -127,12 +127,12 @@
         answer = PendingReply(connection)
         connection.pending_replies.append(answer)
         pending.answers.append(answer)
-        deadline_ns = self.settings.classes[fields.index].deadline_ns
+        deadline_ns = self.settings.classes[fields.class_index].deadline_ns
         patience_ns = min(command.wait_ms * MS or deadline_ns, deadline_ns)
         request_id = self.door.new_id()
         self.pending[request_id] = pending
         ask = api.Ask.TAKE if verb == TAKE else api.Ask.PEEK
-        self.door.feed(command.request(request_id, patience_ns, ask))
+        self.door.feed(command.to_event(request_id, patience_ns, ask))
         if request_id in self.pending:
             # Guards against a question that nobody ever answers.
             pending.timer = self.loop.call_later(patience_ns / SECOND + SPARE_S, self.forgotten, request_id)
--- a/hookport/node.py
+++ b/hookport/node.py
@@ -225,7 +225,7 @@
         full = self.held_bytes > BODY_PART * self.config.memory_bytes
         if full or len(self.open_requests) >= (self.settings.max_held or 20_000):
             return answer.complete(resp.busy(self.settings.max_retry_after_ns))
-        deadline_ns = self.settings.classes[fields.index].deadline_ns
+        deadline_ns = self.settings.classes[fields.class_index].deadline_ns
         patience_ns = min(max(1, command.wait_ms - MARGIN_MS) * MS, deadline_ns)
         request_id = self.new_id()
         now_ns = self.now_ns()
@@ -234,7 +234,7 @@
         self.held_bytes += request.size
         request.deadline_timer = self.loop.call_later(patience_ns / SECOND, self.overdue, request_id)
         answer.gone = lambda: self.hung_up(request_id)
-        self.feed(command.request(request_id, patience_ns))
+        self.feed(command.to_event(request_id, patience_ns))
 
     def new_id(self) -> int:
         self.next_id = (self.next_id + 1) & 0xFFFFFFFF
--- a/hookport/resp.py
+++ b/hookport/resp.py
@@ -133,7 +133,7 @@
 class Fields:
     """The list of names and values, but for the wait."""
 
-    index: int
+    class_index: int
     plan: int
     units: float
     spread: float
@@ -156,12 +156,12 @@
     def request_id(self) -> bytes:
         return self.arguments[2]
 
-    def request(self, request_id: int, patience_ns: int, ask: Ask = Ask.SEND) -> Request:
+    def to_event(self, request_id: int, patience_ns: int, ask: Ask = Ask.SEND) -> Request:
         """The event that tells the module of it."""
         fields = self.fields
         return Request(
             request_id=request_id,
-            traffic_class=fields.index,
+            traffic_class=fields.class_index,
             plan=fields.plan,
             customer=self.customer,
             patience_ns=patience_ns,
@@ -249,7 +249,7 @@
             raise CommandError("d is not a number of milliseconds")
         wait_ms, before, after = int(split[2]), split[1], split[3]
         fields = self.fields(submit, before + after[1:] if after else before[:-1])
-        if not 0 < wait_ms * 1_000_000 <= LONGEST_WAITS * self.classes[fields.index].deadline_ns:
+        if not 0 < wait_ms * 1_000_000 <= LONGEST_WAITS * self.classes[fields.class_index].deadline_ns:
             raise CommandError("d is not a time for which a client of that class waits")
         return Command(texts, before, after, key, wait_ms, fields)
 
@@ -267,7 +267,7 @@
         if submit == (self.classes[index].repeat is Repeat.SAFE):
             raise CommandError("wrong command for the class")
         return Fields(
-            index=index,
+            class_index=index,
             plan=plan,
             units=units_of(fields.get(b"units", b"1"), self.most_units),
             spread=whole(fields, b"spread", 1, self.limiters),
