--- a/hookport/clients.py
+++ b/hookport/clients.py
@@ -128,7 +128,7 @@
                 gone()
         self.close_when_answered()
 
-    def command(self, words: resp.Reply) -> None:
+    def command(self, words: resp.Message) -> None:
         if not isinstance(words, list) or not words or not isinstance(words[0], bytes):
             return self.reject_command("a command is an array of bulk strings")
         verb = words[0].upper()
@@ -177,7 +177,7 @@
         if self.ended or (self.clients.closing and not answers):
             self.close_when_answered()
         elif not self.parsing:
-            if self.reader.waiting():
+            if self.reader.has_unparsed_data():
                 self.parse()  # what was left unread while too much was unanswered
             else:
                 self.throttle()
@@ -209,7 +209,7 @@
             row = clients.unread
         elif not self.done:
             row = clients.silent
-        elif len(self.pending_replies) < MOST_PIPELINED and self.reader.waiting():
+        elif len(self.pending_replies) < MOST_PIPELINED and self.reader.has_unparsed_data():
             row = clients.unsaid
         elif not self.pending_replies:
             row = clients.idle if self.accepted_count else clients.greeted
--- a/hookport/counter.py
+++ b/hookport/counter.py
@@ -105,7 +105,7 @@
 
     def call(self, name: int, amount: float, lifetime_ns: int, number: int = 0) -> None:
         life_ms = max(1, -(-lifetime_ns // 1_000_000))
-        words = resp.pack((b"INCRTTL", b"%d" % name, f"{amount:.9f}".encode(), b"%d" % life_ms))
+        words = resp.encode_command((b"INCRTTL", b"%d" % name, f"{amount:.9f}".encode(), b"%d" % life_ms))
         call = Call(name, number, words, self.loop.time())
         call.timer = self.loop.call_later(self.timeout_s, self.give_up, call)
         self.check()
@@ -187,7 +187,7 @@
         unsent = call in self.waiting
         if unsent:
             self.waiting.remove(call)
-        elif self.line and self.line.reader.waiting():
+        elif self.line and self.line.reader.has_unparsed_data():
             # Guards against waiting out one call after another behind an answer that never comes to its end.
             return self.line.drop("half an answer")
         self.end(call, Outcome.CONNECT_FAILED if unsent else Outcome.TIMEOUT)
@@ -200,9 +200,13 @@
             line.transport.abort()
 
 
-def read(reply: resp.Reply) -> tuple[Outcome, float]:
+def read(reply: resp.Message) -> tuple[Outcome, float]:
     """A total, or that nothing was added; after anything else it may have been."""
-    if isinstance(reply, resp.Line) and reply.kind == b"-" and reply.text.split(b" ")[0] in (b"BUSY", b"ERR"):
+    if (
+        isinstance(reply, resp.SimpleElement)
+        and reply.kind == b"-"
+        and reply.text.split(b" ")[0] in (b"BUSY", b"ERR")
+    ):
         return Outcome.FULL, 0.0
     try:
         total = float(reply) if isinstance(reply, bytes) else math.nan
--- a/hookport/resp.py
+++ b/hookport/resp.py
@@ -1,4 +1,4 @@
-"""RESP2: what clients ask, what goes on to servers, and the answers' forms."""
+"""RESP2 codec: parses client commands, encodes forwarded commands, and formats replies."""
 
 from __future__ import annotations
 
@@ -14,124 +14,136 @@
 from aniseshed.interface import Ask, Repeat, Request, Settings
 from hookport.config import Names
 
-LARGEST_VALUE = 64 * 1024
-LARGEST_ANSWER = 1 << 20  # servers' values may be larger than what clients send: some have 400 KB
-LONGEST_LINE = 512  # bytes of a line, or of a length
-LONGEST_WAITS = 2  # times its class's deadline: no client waits longer
-MOST_CUSTOMERS = 1 << 33
-FIELDS_KEPT = 1024
+MAX_VALUE_BYTES = 64 * 1024
+# Servers may return larger values than clients may send: some have 400 KB.
+MAX_SERVER_VALUE_BYTES = 1 << 20
+MAX_LINE_BYTES = 512  # also applies to the digits of a length
+MAX_WAIT_DEADLINES = 2  # a client waits at most this many times the deadline of its traffic class
+CUSTOMER_LIMIT = 1 << 33  # customer numbers are below this
+FIELDS_CACHE_SIZE = 1024
 REQUEST_ID = re.compile(rb"[0-9A-Za-z_-]{1,64}").fullmatch
 CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
 WAIT = re.compile(rb"(|.*,)d=([0-9]{1,9})(|,.*)", re.S).fullmatch
 UNITS = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?").fullmatch
-HEAD = re.compile(rb"([*$:+-])([^\r\n]{0,%d})\r\n" % LONGEST_LINE).match
+HEADER = re.compile(rb"([*$:+-])([^\r\n]{0,%d})\r\n" % MAX_LINE_BYTES).match
 LENGTH = re.compile(rb"[0-9]{1,9}|-1").fullmatch
 OK, PONG = b"+OK\r\n", b"+PONG\r\n"
 
 
 class StreamError(Exception):
-    """The stream is no RESP2 as it is spoken here; nothing behind this place can be read."""
+    """The stream is not valid RESP2 or exceeds a limit; the bytes that follow cannot be parsed."""
 
 
 @dataclass(slots=True, frozen=True)
-class Line:
-    """A line that is no value: ``kind`` is its first byte, as a minus for an error."""
+class SimpleElement:
+    """A simple string, an error or an integer; ``kind`` is its type byte (``+``, ``-`` or ``:``)."""
 
     kind: bytes
     text: bytes
 
 
-Element = bytes | Line | None
-Reply = Element | list[Element]
+Element = bytes | SimpleElement | None
+Message = Element | list[Element]
 
 
 class Reader:
-    """Messages from a stream of bytes: lines, bulk strings, and flat arrays of these.
+    """Incremental parser for simple elements, bulk strings, and flat arrays of these.
 
-    Guards against what a length announces costing anything before its bytes are there: hiredis makes an
-    array as long as its header says, and one of ``*1000000000`` takes a second of CPU to be let go."""
+    Memory and CPU grow with the bytes received, never with an announced length. hiredis allocates an array as
+    long as its header says, and freeing the array of ``*1000000000`` takes a second of CPU."""
 
-    __slots__ = ("at", "data", "largest", "most")
+    __slots__ = ("position", "buffer", "max_value_bytes", "max_elements")
 
-    def __init__(self, most: int, largest: int = LARGEST_VALUE) -> None:
-        self.data, self.at = b"", 0
-        self.most, self.largest = most, largest  # elements in an array, bytes in a value
+    def __init__(self, max_elements: int, max_value_bytes: int = MAX_VALUE_BYTES) -> None:
+        self.buffer, self.position = b"", 0
+        self.max_elements, self.max_value_bytes = max_elements, max_value_bytes
 
     def feed(self, data: bytes) -> None:
-        self.data, self.at = (self.data[self.at :] + data if self.waiting() else data), 0
+        self.buffer, self.position = (
+            (self.buffer[self.position :] + data if self.has_unparsed_data() else data),
+            0,
+        )
 
-    def waiting(self) -> bool:
-        """Whether something is left that was not handed out."""
-        return self.at < len(self.data)
+    def has_unparsed_data(self) -> bool:
+        return self.position < len(self.buffer)
 
-    def gets(self) -> Reply | Literal[False]:
-        """The next message, or False until it is whole; raises StreamError."""
-        if not self.waiting() or (head := self.head(self.at)) is None:
+    def gets(self) -> Message | Literal[False]:
+        """Return the next message, or False if it is not complete yet. Raises StreamError."""
+        if not self.has_unparsed_data() or (header := self.parse_header(self.position)) is None:
             return False
-        kind, text, at = head
+        kind, text, position = header
         if kind != b"*":
-            reply: Reply
-            if (element := self.element(kind, text, at)) is None:
+            message: Message
+            if (element := self.parse_element(kind, text, position)) is None:
                 return False
-            reply, at = element
-            return self.whole(reply, at)
-        if (count := length(text)) > self.most:
+            message, position = element
+            return self.consume(message, position)
+        if (count := parse_length(text)) > self.max_elements:
             raise StreamError("an array that is too long")
         items: list[Element] = []
         for _ in range(count):
-            if (head := self.head(at)) is None or (element := self.element(*head)) is None:
+            if (header := self.parse_header(position)) is None or (
+                element := self.parse_element(*header)
+            ) is None:
                 return False
-            item, at = element
+            item, position = element
             items.append(item)
-        return self.whole(items if count >= 0 else None, at)
+        return self.consume(items if count >= 0 else None, position)
 
-    def whole(self, reply: Reply, at: int) -> Reply:
-        if at < len(self.data):
-            self.at = at
+    def consume(self, message: Message, position: int) -> Message:
+        """Advance to ``position`` and return ``message``."""
+        if position < len(self.buffer):
+            self.position = position
         else:
-            self.data, self.at = b"", 0  # an idle connection keeps nothing of what it last said
-        return reply
+            self.buffer, self.position = b"", 0  # an idle connection holds no memory for its last message
+        return message
 
-    def head(self, at: int) -> tuple[bytes, bytes, int] | None:
-        """The kind and the text of the line that begins there, and where the next byte is."""
-        if found := HEAD(self.data, at):
+    def parse_header(self, position: int) -> tuple[bytes, bytes, int] | None:
+        """Return type byte, text and end of the line at ``position``, or None if it is incomplete."""
+        if found := HEADER(self.buffer, position):
             return found[1], found[2], found.end()
-        left = len(self.data) - at
-        if left and (self.data[at] not in b"*$:+-" or left > LONGEST_LINE + 2 or b"\n" in self.data[at:]):
+        remaining = len(self.buffer) - position
+        if remaining and (
+            self.buffer[position] not in b"*$:+-"
+            or remaining > MAX_LINE_BYTES + 2
+            or b"\n" in self.buffer[position:]
+        ):
             raise StreamError("a line of no known form")
         return None
 
-    def element(self, kind: bytes, text: bytes, at: int) -> tuple[Element, int] | None:
-        """What that line begins, and where the next byte is."""
+    def parse_element(self, kind: bytes, text: bytes, position: int) -> tuple[Element, int] | None:
+        """Return the element with that header and its end; None if it is incomplete.
+
+        ``position`` is the end of the header."""
         if kind == b"*":
             raise StreamError("an array in an array")
         if kind != b"$":
-            return Line(kind, text), at
-        if (size := length(text)) < 0:
-            return None, at
-        if size > self.largest:
+            return SimpleElement(kind, text), position
+        if (size := parse_length(text)) < 0:
+            return None, position
+        if size > self.max_value_bytes:
             raise StreamError("a value that is too long")
-        end = at + size
-        if self.data[end : end + 2] == b"\r\n":
-            return self.data[at:end], end + 2
-        if len(self.data) >= end + 2:
+        end = position + size
+        if self.buffer[end : end + 2] == b"\r\n":
+            return self.buffer[position:end], end + 2
+        if len(self.buffer) >= end + 2:
             raise StreamError("a value that does not end where it should")
         return None
 
 
-def length(text: bytes) -> int:
+def parse_length(text: bytes) -> int:
     if not LENGTH(text):
         raise StreamError("a length that is none")
     return int(text)
 
 
 class CommandError(Exception):
-    """The command is malformed; the text is for the client."""
+    """The command is malformed; the text is sent to the client as the error message."""
 
 
 @dataclass(slots=True, frozen=True)
 class Fields:
-    """The list of names and values, but for the wait."""
+    """The parsed ``name=value`` list of a request, without the wait ``d``."""
 
     class_index: int
     plan: int
@@ -143,11 +155,11 @@
 
 @dataclass(slots=True)
 class Command:
-    """A client's request, as written and as understood."""
+    """A client's request: its arguments as received and their parsed values."""
 
     arguments: Sequence[bytes]
-    before: bytes  # of the list: what stands before and after the wait
-    after: bytes
+    text_before_wait: bytes  # the parts of the list before and after ``d=...``
+    text_after_wait: bytes
     customer: int
     wait_ms: int
     fields: Fields
@@ -157,7 +169,7 @@
         return self.arguments[2]
 
     def to_event(self, request_id: int, patience_ns: int, ask: Ask = Ask.SEND) -> Request:
-        """The event that tells the module of it."""
+        """The Request event for the limiter; ``request_id`` is the daemon's number, not the client's id."""
         fields = self.fields
         return Request(
             request_id=request_id,
@@ -173,15 +185,15 @@
         )
 
     def forward(self, wait_ms: int) -> bytes:
-        """The same for a server, with how long the limiter will wait."""
+        """Encode the command for a server, with ``d`` replaced by how long the limiter waits."""
         verb, customer, request_id, _, *body = self.arguments
-        listed = b"%sd=%d%s" % (self.before, wait_ms, self.after)
-        return pack((verb, customer, request_id, listed, *body))
+        listed = b"%sd=%d%s" % (self.text_before_wait, wait_ms, self.text_after_wait)
+        return encode_command((verb, customer, request_id, listed, *body))
 
 
-def pack(words: tuple[bytes, ...]) -> bytes:
-    packed: bytes = hiredis.pack_command(words)  # type: ignore[arg-type,no-untyped-call,unused-ignore]
-    return packed
+def encode_command(arguments: tuple[bytes, ...]) -> bytes:
+    encoded: bytes = hiredis.pack_command(arguments)  # type: ignore[arg-type,no-untyped-call,unused-ignore]
+    return encoded
 
 
 def bulk(value: bytes) -> bytes:
@@ -193,84 +205,88 @@
 
 
 def busy(retry_after_ns: int) -> bytes:
+    """The ``-BUSY`` error, with the retry delay in milliseconds, rounded up, if it is above 0."""
     return b"-BUSY %d\r\n" % -(-retry_after_ns // 1_000_000) if retry_after_ns > 0 else b"-BUSY\r\n"
 
 
-def units_of(text: bytes, most: float) -> float:
-    """Guards against amounts that would put a customer's next ticket out of reach."""
+def parse_units(text: bytes, max_units: float) -> float:
+    """Parse ``units``.
+
+    The upper bound matters: a huge amount would put the customer's next ticket out of reach."""
     units = float(text) if UNITS(text) else 0.0
-    if not 0 < units <= most:
+    if not 0 < units <= max_units:
         raise CommandError("units is not a number above 0, or more than a request takes")
     return units
 
 
-def whole(fields: dict[bytes, bytes], name: bytes, least: int, most: int) -> float:
-    """A whole number; one that is not told is the least."""
-    text = fields.get(name, b"%d" % least)
-    if not text.isdigit() or len(text) > 9 or not least <= int(text) <= most:
-        raise CommandError(f"{name.decode()} is not a whole number from {least} to {most}")
+def parse_whole_number(fields: dict[bytes, bytes], name: bytes, minimum: int, maximum: int) -> float:
+    """Parse an integer field; a missing field is ``minimum``."""
+    text = fields.get(name, b"%d" % minimum)
+    if not text.isdigit() or len(text) > 9 or not minimum <= int(text) <= maximum:
+        raise CommandError(f"{name.decode()} is not a whole number from {minimum} to {maximum}")
     return float(text)
 
 
 class RequestParser:
-    """Reads SVC.QUERY and SVC.SUBMIT; anything that a server would not take raises CommandError."""
+    """Parses SVC.QUERY and SVC.SUBMIT; raises CommandError for anything that a server would not accept."""
 
     def __init__(self, names: Names, settings: Settings) -> None:
         self.names, self.classes = names, settings.classes
-        self.limiters, self.most_units = max(1, settings.limiters), settings.largest_units or math.inf
-        # Few lists differ by more than the wait: what they mean is looked up, which saves most of the work.
-        self.fields = lru_cache(FIELDS_KEPT)(self.read_fields)
+        self.limiters, self.max_units = max(1, settings.limiters), settings.largest_units or math.inf
+        # Most lists differ only in the wait, so caching the other fields saves most of the parsing work.
+        self.cached_fields = lru_cache(FIELDS_CACHE_SIZE)(self.parse_fields)
 
-    def parse(self, words: Sequence[object]) -> Command:
-        texts = [word for word in words if isinstance(word, bytes)]
+    def parse(self, items: Sequence[object]) -> Command:
+        texts = [item for item in items if isinstance(item, bytes)]
         submit = texts[0].upper() == b"SVC.SUBMIT"
-        if len(texts) != len(words) or len(texts) != 4 + submit:
+        if len(texts) != len(items) or len(texts) != 4 + submit:
             raise CommandError("wrong number of arguments")
-        return self.read(texts, submit)
+        return self.parse_arguments(texts, submit)
 
-    def parse_limit_request(self, words: Sequence[bytes]) -> Command:
-        """A question about a quota: the same of any class; without ``d`` its ``wait_ms`` is 0."""
-        if len(words) != 4:
+    def parse_limit_request(self, arguments: Sequence[bytes]) -> Command:
+        """Parse a limit command, which has the same list for every class; ``wait_ms`` is 0 without ``d``."""
+        if len(arguments) != 4:
             raise CommandError("wrong number of arguments")
-        return self.read(words, None)
+        return self.parse_arguments(arguments, None)
 
-    def read(self, texts: Sequence[bytes], submit: bool | None) -> Command:
+    def parse_arguments(self, texts: Sequence[bytes], submit: bool | None) -> Command:
+        """Parse the arguments; ``submit`` is None for a limit command."""
         _, customer, request_id, listed = texts[:4]
-        key = int(customer, 16) if CUSTOMER(customer) else MOST_CUSTOMERS
-        if key >= MOST_CUSTOMERS:
+        number = int(customer, 16) if CUSTOMER(customer) else CUSTOMER_LIMIT
+        if number >= CUSTOMER_LIMIT:
             raise CommandError("the customer is not 16 hex digits below 2^33")
         if not REQUEST_ID(request_id):
             raise CommandError("the id is not 1 to 64 letters, digits, - or _")
-        if len(listed) > 1024 or len(texts[-1]) > LARGEST_VALUE:
+        if len(listed) > 1024 or len(texts[-1]) > MAX_VALUE_BYTES:
             raise CommandError("an argument is too long")
         if not (split := WAIT(listed)) and submit is None:
-            return Command(texts, listed, b"", key, 0, self.fields(submit, listed))
+            return Command(texts, listed, b"", number, 0, self.cached_fields(submit, listed))
         if not split:
             raise CommandError("d is not a number of milliseconds")
         wait_ms, before, after = int(split[2]), split[1], split[3]
-        fields = self.fields(submit, before + after[1:] if after else before[:-1])
-        if not 0 < wait_ms * 1_000_000 <= LONGEST_WAITS * self.classes[fields.class_index].deadline_ns:
+        fields = self.cached_fields(submit, before + after[1:] if after else before[:-1])
+        if not 0 < wait_ms * 1_000_000 <= MAX_WAIT_DEADLINES * self.classes[fields.class_index].deadline_ns:
             raise CommandError("d is not a time for which a client of that class waits")
-        return Command(texts, before, after, key, wait_ms, fields)
+        return Command(texts, before, after, number, wait_ms, fields)
 
-    def read_fields(self, submit: bool | None, listed: bytes) -> Fields:
+    def parse_fields(self, submit: bool | None, listed: bytes) -> Fields:
         fields: dict[bytes, bytes] = {}
         for item in listed.split(b","):
             name, equals, value = item.partition(b"=")
             if not equals or name in fields or name == b"d":
                 raise CommandError("the list is not names and values")
             fields[name] = value
-        index = self.names.classes.get(fields.get(b"c", b""))
+        class_index = self.names.classes.get(fields.get(b"c", b""))
         plan = self.names.plans.get(fields.get(b"t", b""))
-        if index is None or plan is None:
+        if class_index is None or plan is None:
             raise CommandError("unknown class or plan")
-        if submit == (self.classes[index].repeat is Repeat.SAFE):
+        if submit == (self.classes[class_index].repeat is Repeat.SAFE):
             raise CommandError("wrong command for the class")
         return Fields(
-            class_index=index,
+            class_index=class_index,
             plan=plan,
-            units=units_of(fields.get(b"units", b"1"), self.most_units),
-            spread=whole(fields, b"spread", 1, self.limiters),
-            first=whole(fields, b"first", 0, self.limiters - 1),
+            units=parse_units(fields.get(b"units", b"1"), self.max_units),
+            spread=parse_whole_number(fields, b"spread", 1, self.limiters),
+            first=parse_whole_number(fields, b"first", 0, self.limiters - 1),
             repeated=fields.get(b"r") == b"1",
         )
--- a/hookport/servers.py
+++ b/hookport/servers.py
@@ -44,7 +44,7 @@
     def __init__(self, servers: Servers, server: bytes, place: Place) -> None:
         self.servers, self.server, self.place = servers, server, place
         self.attempt: Attempt | None = None
-        self.reader = resp.Reader(ELEMENTS, resp.LARGEST_ANSWER)
+        self.reader = resp.Reader(ELEMENTS, resp.MAX_SERVER_VALUE_BYTES)
         self.stall: asyncio.TimerHandle | None = None
         self.heard_s = 0.0  # when a part of an answer came last
         self.written = False  # whether the attempt's last byte has gone to the network
@@ -80,7 +80,7 @@
             return self.garbage(str(error))
         attempt, self.attempt = self.attempt, None
         self.calm()
-        if self.reader.waiting() or not self.written:
+        if self.reader.has_unparsed_data() or not self.written:
             log.warning("%s sent more than an answer", self.server.decode())
             self.transport.abort()
         else:
@@ -113,11 +113,11 @@
             self.servers.finish(attempt, Outcome.RESET if self.written else Outcome.CONNECT_FAILED, b"")
 
 
-def read(reply: resp.Reply) -> tuple[Outcome, bytes]:
+def read(reply: resp.Message) -> tuple[Outcome, bytes]:
     """What an answer tells; only one that is just as agreed says that nothing ran."""
     if isinstance(reply, list) and len(reply) == ELEMENTS and isinstance(reply[0], bytes):
         return Outcome.OK, reply[0]  # what cannot be read of use and load harms no value
-    if isinstance(reply, resp.Line) and reply.kind == b"-":
+    if isinstance(reply, resp.SimpleElement) and reply.kind == b"-":
         word, _, rest = reply.text.partition(b" ")
         if word == b"BUSY" and REPORT(rest):
             return Outcome.FULL, b""
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -53,10 +53,10 @@
             while (reply := reader.gets()) is not False:
                 got.append(reply)
         assert got == [
-            [b"a\r\nbc", None, resp.Line(b":", b"7")], resp.Line(b"+", b"OK"), b"",
-            resp.Line(b"-", b"ERR no"), None,
+            [b"a\r\nbc", None, resp.SimpleElement(b":", b"7")], resp.SimpleElement(b"+", b"OK"), b"",
+            resp.SimpleElement(b"-", b"ERR no"), None,
         ]  # fmt: skip
-        assert not reader.waiting() and not reader.data  # an idle connection keeps nothing
+        assert not reader.has_unparsed_data() and not reader.buffer  # an idle connection keeps nothing
 
 
 def test_who_says_nothing_or_half_a_command_is_told_and_closed(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_bad_servers.py
+++ b/tests/test_bad_servers.py
@@ -31,9 +31,9 @@
 def test_only_what_is_just_as_agreed_says_that_nothing_ran(text: bytes, outcome: Outcome | None) -> None:
     if outcome is None:
         with pytest.raises(resp.StreamError):
-            servers.read(resp.Line(b"-", text))
+            servers.read(resp.SimpleElement(b"-", text))
     else:
-        assert servers.read(resp.Line(b"-", text)) == (outcome, b"")
+        assert servers.read(resp.SimpleElement(b"-", text)) == (outcome, b"")
 
 
 def test_a_report_that_cannot_be_read_harms_no_value() -> None:
