--- a/hookport/servers.py
+++ b/hookport/servers.py
@@ -44,7 +44,7 @@
     def __init__(self, servers: Servers, server: bytes, place: Place) -> None:
         self.servers, self.server, self.place = servers, server, place
         self.attempt: Attempt | None = None
-        self.reader = resp.Reader(ELEMENTS, resp.LARGEST_ANSWER)
+        self.reader = resp.Reader(ELEMENTS, resp.MAX_SERVER_VALUE_BYTES)
         self.stall: asyncio.TimerHandle | None = None
         self.heard_s = 0.0  # when a part of an answer came last
         self.written = False  # whether the attempt's last byte has gone to the network
@@ -80,7 +80,7 @@
             return self.garbage(str(error))
         attempt, self.attempt = self.attempt, None
         self.calm()
-        if self.reader.waiting() or not self.written:
+        if self.reader.has_unparsed_data() or not self.written:
             log.warning("%s sent more than an answer", self.server.decode())
             self.transport.abort()
         else:
@@ -113,11 +113,11 @@
             self.servers.finish(attempt, Outcome.RESET if self.written else Outcome.CONNECT_FAILED, b"")
 
 
-def read(reply: resp.Reply) -> tuple[Outcome, bytes]:
+def read(reply: resp.Message) -> tuple[Outcome, bytes]:
     """What an answer tells; only one that is just as agreed says that nothing ran."""
     if isinstance(reply, list) and len(reply) == ELEMENTS and isinstance(reply[0], bytes):
         return Outcome.OK, reply[0]  # what cannot be read of use and load harms no value
-    if isinstance(reply, resp.Line) and reply.kind == b"-":
+    if isinstance(reply, resp.SimpleElement) and reply.kind == b"-":
         word, _, rest = reply.text.partition(b" ")
         if word == b"BUSY" and REPORT(rest):
             return Outcome.FULL, b""
@@ -165,9 +165,9 @@
         self.places[server] = place
         self.draining.discard(server)
 
-    def forget(self, server: bytes) -> None:
+    def remove_server(self, server: bytes) -> None:
         self.places.pop(server, None)
-        self.leave(server)
+        self.stop_sending(server)
         self.draining.discard(server)
 
     def cool(self, server: bytes) -> None:
@@ -175,7 +175,7 @@
         for link in self.idle.pop(server, ()):
             link.transport.abort()
 
-    def leave(self, server: bytes) -> None:
+    def stop_sending(self, server: bytes) -> None:
         """Guards against a late connection carrying a new attempt to a server that drains or is gone."""
         self.draining.add(server)
         self.cool(server)
