--- a/hookport/__main__.py
+++ b/hookport/__main__.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from hookport.config import Config, ConfigError, load
+from hookport.config import Config, ConfigError, load_config
 from hookport.node import Node
 
 LONGEST_LINE = 400  # characters of a log line: what a peer sends must not fill the log
@@ -44,7 +44,7 @@
 def reload(node: Node) -> None:
     """Guards against a bad file ending what serves: it is told, and the old configuration stays."""
     try:
-        node.reconfigure(load(os.environ, again=True))
+        node.reconfigure(load_config(os.environ, reloading=True))
     except ConfigError as error:
         logging.getLogger("hookport").error("keeping the old configuration: %s", error)
 
@@ -71,7 +71,7 @@
     handler.setFormatter(logging.Formatter("%(asctime)s %(levelname)s %(name)s %(message)s"))
     logging.basicConfig(level=logging.INFO, handlers=[handler])
     try:
-        config = load(os.environ)
+        config = load_config(os.environ)
         uvloop.run(serve(config))
     except (ConfigError, OSError) as error:
         print(f"hookport: {error}", file=sys.stderr)
--- a/hookport/config.py
+++ b/hookport/config.py
@@ -40,10 +40,10 @@
     discovery: Address
     counter: Address | None
     seed: int
-    memory_bytes: int
-    sockets: int
-    idle_ns: int  # for which a server keeps an idle connection
-    known: dict[str, Any]
+    memory_limit_bytes: int
+    max_sockets: int
+    server_idle_timeout_ns: int  # for which a server keeps an idle connection
+    known_list: dict[str, Any]
     names: Names
     settings: api.Settings
     peer_listen: Address | None = None
@@ -60,7 +60,7 @@
     return host, int(port)
 
 
-def read(told: Any, environ: Mapping[str, str]) -> Config:
+def parse_config(told: Any, environ: Mapping[str, str]) -> Config:
     """Check a parsed configuration; the environment's addresses win."""
     if not isinstance(told, dict) or not isinstance(told.get("settings"), dict):
         raise ConfigError("the configuration is not a JSON object with an object 'settings'")
@@ -74,10 +74,10 @@
             discovery=address(environ.get("PROXY_DISCOVERY") or told.get("discovery"), "PROXY_DISCOVERY"),
             counter=address(told["counter"], "counter") if settings.has_counter else None,
             seed=int(str(told.get("seed", "0")), 16),
-            memory_bytes=int(float(limits.get("memory_mb", 192)) * (1 << 20)),
-            sockets=int(limits.get("sockets", 1024)),
-            idle_ns=int(raw.get("bounds", {}).get("connIdle", 0)) or 10_000_000_000,
-            known=told.get("known") or {"generation": 0, "reset": True, "instances": []},
+            memory_limit_bytes=int(float(limits.get("memory_mb", 192)) * (1 << 20)),
+            max_sockets=int(limits.get("sockets", 1024)),
+            server_idle_timeout_ns=int(raw.get("bounds", {}).get("connIdle", 0)) or 10_000_000_000,
+            known_list=told.get("known") or {"generation": 0, "reset": True, "instances": []},
             names=Names(
                 {lane["name"].encode(): n for n, lane in enumerate(raw.get("lanes", ()))},
                 {tier["name"].encode(): n for n, tier in enumerate(raw.get("tiersOfService", ()))},
@@ -85,7 +85,7 @@
                 {name: n for n, name in enumerate(raw.get("hostTypes", ()))},
             ),
             settings=settings,
-            options=read_options(environ),
+            options=load_options(environ),
             **peer_addresses(told, settings),
         )
     except KeyError as error:
@@ -94,7 +94,7 @@
         raise ConfigError(f"the configuration cannot be used: {error}") from error
 
 
-def read_options(environ: Mapping[str, str]) -> Options | None:
+def load_options(environ: Mapping[str, str]) -> Options | None:
     """The daemon's own settings; without HOOKPORT_OPTIONS nothing of them is even imported."""
     path = environ.get("HOOKPORT_OPTIONS")
     if not path:
@@ -125,7 +125,7 @@
     }
 
 
-def load(environ: Mapping[str, str], again: bool = False) -> Config:
+def load_config(environ: Mapping[str, str], reloading: bool = False) -> Config:
     """Read the file that ``PROXY_CONFIG`` names; when it is read again, its addresses win."""
     path = environ.get("PROXY_CONFIG")
     if not path:
@@ -135,7 +135,7 @@
             told = json.load(file)
     except (OSError, ValueError) as error:
         raise ConfigError(f"cannot read the configuration {path}: {error}") from error
-    if again and isinstance(told, dict) and told.get("discovery"):
+    if reloading and isinstance(told, dict) and told.get("discovery"):
         # Guards against a new file that changes nothing: the environment still tells the first address.
         environ = {name: value for name, value in environ.items() if name != "PROXY_DISCOVERY"}
-    return read(told, environ)
+    return parse_config(told, environ)
--- a/hookport/emulator/whole.py
+++ b/hookport/emulator/whole.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from hookport.config import ConfigError, read
+from hookport.config import ConfigError, parse_config
 from hookport.emulator.loop import LIFE, Life, SpinError, StallError, VirtualLoop
 from hookport.emulator.network import Network
 from hookport.node import Node
@@ -159,7 +159,7 @@
     async def launch(self, seat: Seat) -> None:
         seat.count += 1
         seat.life, seat.done, seat.stopping = Life(f"n{seat.number}.{seat.count}"), asyncio.Event(), False
-        config = read(seat.told, {})
+        config = parse_config(seat.told, {})
         context = contextvars.copy_context()
         context.run(LIFE.set, seat.life)
         node = seat.node = context.run(
@@ -217,7 +217,7 @@
             for name in ("discovery", "counter"):
                 seat.told[name] = f"{HOST}:{told[name]}"
             self.note("hup", seat)
-            self.within(seat, node.reconfigure, read(seat.told, {}))
+            self.within(seat, node.reconfigure, parse_config(seat.told, {}))
             return
         if what == "STOP":
             self.note("stop", seat)
--- a/hookport/node.py
+++ b/hookport/node.py
@@ -76,11 +76,11 @@
         self.next_id, self.held_bytes = 0, 0
         self.ids: tuple[set[bytes], set[bytes]] = (set(), set())  # of clients: newer and older
         self.ids_since_ns = 0
-        most = max(16, config.sockets - SPARE_SOCKETS)
+        most = max(16, config.max_sockets - SPARE_SOCKETS)
         connect_s = (settings.connect_timeout_ns or SECOND) / SECOND
         self.clients = Clients(loop, self.take, round(most * CLIENTS_PART))
         for_servers = most - self.clients.most
-        idle_s = config.idle_ns / SECOND
+        idle_s = config.server_idle_timeout_ns / SECOND
         self.servers = Servers(loop, self.attempt_ended, connect_s, idle_s, for_servers, unread)
         self.members = self.believe() if config.options and config.options.membership else None
         follow, members = not settings.subscribe, self.members
@@ -137,7 +137,7 @@
     async def start(self) -> None:
         if self.peers and self.config.peer_listen:
             await self.peers.start(self.config.peer_listen)
-        self.discovery.start(self.config.known, whole=self.members is not None)
+        self.discovery.start(self.config.known_list, whole=self.members is not None)
         if self.counter:
             self.counter.connect()
         host, port = await self.clients.listen(self.config.listen)
@@ -220,7 +220,7 @@
         command = self.grammar.parse(words)
         self.once(command.request_id)
         fields = command.fields
-        full = self.held_bytes > BODY_PART * self.config.memory_bytes
+        full = self.held_bytes > BODY_PART * self.config.memory_limit_bytes
         if full or len(self.open) >= (self.settings.max_held or 20_000):
             return answer.give(resp.busy(self.settings.max_retry_after_ns))
         deadline_ns = self.settings.classes[fields.index].deadline_ns
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -110,7 +110,7 @@
             node, new = world.node, await Discovery().start()
             assert node and node.members
             told = {**world.told(), "discovery": f"127.0.0.1:{new.port}"}
-            node.reconfigure(replace(config.read(told, {}), options=world.options))
+            node.reconfigure(replace(config.parse_config(told, {}), options=world.options))
             await until(lambda: new.watches)
             client = await world.client()
             assert await client.ask(*query(1)) == b"value"
@@ -256,7 +256,7 @@
     options = tmp_path / "options.json"
     options.write_text('{"membership": {"path": ""}}')
     with pytest.raises(config.ConfigError, match="membership.path: Expected `str` of length >= 1"):
-        config.read_options({"HOOKPORT_OPTIONS": str(options)})
+        config.load_options({"HOOKPORT_OPTIONS": str(options)})
 
 
 def test_what_is_off_is_not_even_imported() -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,7 +11,7 @@
 from world import World, serve, settings, until
 
 from hookport import peers
-from hookport.config import ConfigError, read
+from hookport.config import ConfigError, parse_config
 from hookport.node import Node
 
 PROBE = "import sys, hookport.node; print('hookport.peers' in sys.modules)"
@@ -72,7 +72,7 @@
         ports = free_ports(2)
         async with World(serve):
             loop = asyncio.get_running_loop()
-            nodes = [Node(read(told(ports, own), {}), loop) for own in range(2)]
+            nodes = [Node(parse_config(told(ports, own), {}), loop) for own in range(2)]
             for node in nodes:
                 await node.start()
             await until(lambda: nodes[1].limiter.roll.told_ns.get(0) and nodes[0].limiter.roll.told_ns.get(1))
@@ -84,7 +84,7 @@
 
 
 def test_peers_that_do_not_fit_the_settings_are_named(caplog: pytest.LogCaptureFixture) -> None:
-    twice = read(told([5, 5], 0, peers=["127.0.0.1:5", "127.0.0.1:5"]), {})
+    twice = parse_config(told([5, 5], 0, peers=["127.0.0.1:5", "127.0.0.1:5"]), {})
     assert caplog.messages == ["peers[1] is the address of peers[0]: the first is used"]
     loop = asyncio.new_event_loop()
     assert peers.Peers(loop, twice.peers, None, 1, lambda *_: None).indexes == {("127.0.0.1", 5): 0}
@@ -92,10 +92,10 @@
     with pytest.raises(ConfigError, match="peers has 1 addresses for 2 limiters"):
         raw = told([5, 6], 0)
         raw["peers"] = ["127.0.0.1:5"]
-        read(raw, {})
+        parse_config(raw, {})
     with pytest.raises(ConfigError, match=r"peers\[1\] is not an address"):
-        read(told([5, 6], 0, peers=["127.0.0.1:5", "nowhere"]), {})
-    assert read(told([5, 6], 0, peer_listen=None), {}).peers == ()
+        parse_config(told([5, 6], 0, peers=["127.0.0.1:5", "nowhere"]), {})
+    assert parse_config(told([5, 6], 0, peer_listen=None), {}).peers == ()
 
 
 def test_what_is_off_is_not_imported() -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -23,7 +23,7 @@
             client.send(*query(1))
             await until(lambda: world.stubs[0].commands)
             told = {**world.told(), "discovery": f"127.0.0.1:{new.port}"}
-            node.reconfigure(config.read(told, {}))
+            node.reconfigure(config.parse_config(told, {}))
             await until(lambda: new.requests)
             assert b"index=0" in new.requests[0]  # versions of another place mean nothing: the whole list
             world.stubs[0].release.set()
@@ -53,7 +53,7 @@
             node.counter.call(5, 1.0, 1000)
             await until(lambda: world.counter.commands)
             told = {**world.told(), "counter": f"127.0.0.1:{new.port}"}
-            node.reconfigure(config.read(told, {}))
+            node.reconfigure(config.parse_config(told, {}))
             assert [e.outcome for e in events] == [Outcome.TIMEOUT]  # it may have been added
             node.counter.call(5, 1.0, 1000)
             await until(lambda: len(events) == 2)
@@ -69,8 +69,8 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(FILE))
     environ = {"PROXY_CONFIG": str(path), "PROXY_DISCOVERY": "127.0.0.1:1"}
-    assert config.load(environ).discovery == ("127.0.0.1", 1)
-    assert config.load(environ, again=True).discovery == ("127.0.0.1", 2)
+    assert config.load_config(environ).discovery == ("127.0.0.1", 1)
+    assert config.load_config(environ, reloading=True).discovery == ("127.0.0.1", 2)
 
 
 FILE = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:2", "settings": {"lanes": [], "tiersOfService": []}}
--- a/tests/world.py
+++ b/tests/world.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from typing import Any
 
-from hookport.config import Config, read
+from hookport.config import Config, parse_config
 from hookport.node import Node
 from hookport.options import Options
 from hookport.rehearsal.scripted import (
@@ -113,7 +113,7 @@
         }
 
     async def start(self) -> World:
-        config: Config = replace(read(self.told(), {}), options=self.options)
+        config: Config = replace(parse_config(self.told(), {}), options=self.options)
         self.node = Node(config, asyncio.get_running_loop())
         await self.node.start()
         assert self.node.clients.server
