--- a/hookport/config.py
+++ b/hookport/config.py
@@ -1,4 +1,4 @@
-"""What a limiter is told at its start: environment and JSON configuration, checked."""
+"""The limiter's configuration: read from a JSON file and the environment, and validated."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text says why."""
+    """The configuration is invalid; the message says where and why."""
 
 
 @dataclass(slots=True, frozen=True)
 class Names:
-    """Positions in the settings' lists, by name."""
+    """Maps names to their positions in the settings' lists, which the policy uses as indices."""
 
     classes: dict[bytes, int]
     plans: dict[bytes, int]
@@ -35,6 +35,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """The validated configuration of one limiter process."""
+
     name: str
     listen: Address
     discovery: Address
@@ -42,60 +44,64 @@
     seed: int
     memory_limit_bytes: int
     max_sockets: int
-    server_idle_timeout_ns: int  # for which a server keeps an idle connection
-    known_list: dict[str, Any]
+    server_idle_timeout_ns: int  # servers close a connection that has been idle this long
+    known_list: dict[str, Any]  # the server list to start with, in discovery's JSON form
     names: Names
     settings: api.Settings
     peer_listen: Address | None = None
-    peers: tuple[Address, ...] = ()  # by index, this limiter's own among them
+    peers: tuple[Address, ...] = ()  # indexed by limiter, including this one
     peers_all: Address | None = None
-    options: Options | None = None  # None: all that they switch on is off
+    options: Options | None = None  # None disables all optional features
 
 
-def address(text: object, what: str) -> Address:
-    """An IP address and a port as ``host:port``."""
+def address(text: object, setting: str) -> Address:
+    """Parse ``host:port``; ``setting`` names the setting in the ConfigError raised for anything else."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not (port.isascii() and port.isdigit()) or int(port) > 65535:
-        raise ConfigError(f"{what} is not an address like 127.0.0.1:6379: {text!r:.60}")
+        raise ConfigError(f"{setting} is not an address of the form 127.0.0.1:6379: {text!r:.60}")
     return host, int(port)
 
 
-def parse_config(told: Any, environ: Mapping[str, str]) -> Config:
-    """Check a parsed configuration; the environment's addresses win."""
-    if not isinstance(told, dict) or not isinstance(told.get("settings"), dict):
-        raise ConfigError("the configuration is not a JSON object with an object 'settings'")
-    raw: dict[str, Any] = told["settings"]
+def parse_config(document: Any, environ: Mapping[str, str]) -> Config:
+    """Validate a decoded configuration; addresses from the environment take precedence.
+
+    Raises ConfigError if a value is missing or invalid."""
+    if not isinstance(document, dict) or not isinstance(document.get("settings"), dict):
+        raise ConfigError("the configuration must be a JSON object with an object 'settings'")
+    raw_settings: dict[str, Any] = document["settings"]
     try:
-        settings = wire.read_settings(json.dumps(raw).encode())
-        limits = told.get("limits", {})
+        settings = wire.read_settings(json.dumps(raw_settings).encode())
+        limits = document.get("limits", {})
         return Config(
-            name=str(environ.get("PROXY_NAME") or told.get("name") or "hookport"),
-            listen=address(environ.get("PROXY_LISTEN") or told.get("listen"), "PROXY_LISTEN"),
-            discovery=address(environ.get("PROXY_DISCOVERY") or told.get("discovery"), "PROXY_DISCOVERY"),
-            counter=address(told["counter"], "counter") if settings.has_counter else None,
-            seed=int(str(told.get("seed", "0")), 16),
+            name=str(environ.get("PROXY_NAME") or document.get("name") or "hookport"),
+            listen=address(environ.get("PROXY_LISTEN") or document.get("listen"), "PROXY_LISTEN"),
+            discovery=address(environ.get("PROXY_DISCOVERY") or document.get("discovery"), "PROXY_DISCOVERY"),
+            counter=address(document["counter"], "counter") if settings.has_counter else None,
+            seed=int(str(document.get("seed", "0")), 16),
             memory_limit_bytes=int(float(limits.get("memory_mb", 192)) * (1 << 20)),
             max_sockets=int(limits.get("sockets", 1024)),
-            server_idle_timeout_ns=int(raw.get("bounds", {}).get("connIdle", 0)) or 10_000_000_000,
-            known_list=told.get("known") or {"generation": 0, "reset": True, "instances": []},
+            server_idle_timeout_ns=int(raw_settings.get("bounds", {}).get("connIdle", 0)) or 10_000_000_000,
+            known_list=document.get("known") or {"generation": 0, "reset": True, "instances": []},
             names=Names(
-                {lane["name"].encode(): n for n, lane in enumerate(raw.get("lanes", ()))},
-                {tier["name"].encode(): n for n, tier in enumerate(raw.get("tiersOfService", ()))},
-                {name: n for n, name in enumerate(raw.get("zones", ()))},
-                {name: n for n, name in enumerate(raw.get("hostTypes", ()))},
+                {lane["name"].encode(): n for n, lane in enumerate(raw_settings.get("lanes", ()))},
+                {tier["name"].encode(): n for n, tier in enumerate(raw_settings.get("tiersOfService", ()))},
+                {name: n for n, name in enumerate(raw_settings.get("zones", ()))},
+                {name: n for n, name in enumerate(raw_settings.get("hostTypes", ()))},
             ),
             settings=settings,
             options=load_options(environ),
-            **peer_addresses(told, settings),
+            **peer_addresses(document, settings),
         )
     except KeyError as error:
-        raise ConfigError(f"the configuration lacks {error}") from error
+        raise ConfigError(f"the configuration lacks the key {error}") from error
     except (TypeError, ValueError, AttributeError) as error:
-        raise ConfigError(f"the configuration cannot be used: {error}") from error
+        raise ConfigError(f"the configuration is invalid: {error}") from error
 
 
 def load_options(environ: Mapping[str, str]) -> Options | None:
-    """The daemon's own settings; without HOOKPORT_OPTIONS nothing of them is even imported."""
+    """Load the optional features' settings, or None if HOOKPORT_OPTIONS is not set.
+
+    The import is local so that the daemon doesn't load msgspec unless the variable is set."""
     path = environ.get("HOOKPORT_OPTIONS")
     if not path:
         return None
@@ -107,35 +113,39 @@
         raise ConfigError(str(error)) from error
 
 
-def peer_addresses(told: dict[str, Any], settings: api.Settings) -> dict[str, Any]:
-    """Where limiters send one another datagrams; nothing unless the settings allow it."""
-    if not settings.may_tell or not told.get("peer_listen"):
+def peer_addresses(document: dict[str, Any], settings: api.Settings) -> dict[str, Any]:
+    """Read the addresses for datagrams between limiters; empty unless the settings allow them."""
+    if not settings.may_tell or not document.get("peer_listen"):
         return {}
-    peers = tuple(address(peer, f"peers[{n}]") for n, peer in enumerate(told.get("peers", ())))
+    peers = tuple(address(peer, f"peers[{n}]") for n, peer in enumerate(document.get("peers", ())))
     for n, peer in enumerate(peers):
         if (first := peers.index(peer)) != n:
             log.warning("peers[%d] is the address of peers[%d]: the first is used", n, first)
     if len(peers) != settings.limiters:
-        raise ConfigError(f"peers has {len(peers)} addresses for {settings.limiters} limiters: one for each")
-    everyone = told.get("peers_all")
+        raise ConfigError(
+            f"peers has {len(peers)} addresses for {settings.limiters} limiters: it must list one for each"
+        )
+    broadcast = document.get("peers_all")
     return {
-        "peer_listen": address(told["peer_listen"], "peer_listen"),
+        "peer_listen": address(document["peer_listen"], "peer_listen"),
         "peers": peers,
-        "peers_all": address(everyone, "peers_all") if everyone else None,
+        "peers_all": address(broadcast, "peers_all") if broadcast else None,
     }
 
 
 def load_config(environ: Mapping[str, str], reloading: bool = False) -> Config:
-    """Read the file that ``PROXY_CONFIG`` names; when it is read again, its addresses win."""
+    """Load the file named by ``PROXY_CONFIG``; on a reload the file's discovery address takes precedence.
+
+    Raises ConfigError if the file cannot be read or is invalid."""
     path = environ.get("PROXY_CONFIG")
     if not path:
-        raise ConfigError("PROXY_CONFIG is not set: it names the JSON configuration")
+        raise ConfigError("PROXY_CONFIG is not set: it must name the JSON configuration file")
     try:
         with open(path, "rb") as file:
-            told = json.load(file)
+            document = json.load(file)
     except (OSError, ValueError) as error:
-        raise ConfigError(f"cannot read the configuration {path}: {error}") from error
-    if reloading and isinstance(told, dict) and told.get("discovery"):
-        # Guards against a new file that changes nothing: the environment still tells the first address.
+        raise ConfigError(f"cannot read the configuration file {path}: {error}") from error
+    if reloading and isinstance(document, dict) and document.get("discovery"):
+        # PROXY_DISCOVERY still holds the address from the start and would override the reloaded file.
         environ = {name: value for name, value in environ.items() if name != "PROXY_DISCOVERY"}
-    return parse_config(told, environ)
+    return parse_config(document, environ)
