--- a/hookport/__init__.py
+++ b/hookport/__init__.py
@@ -1,3 +1,3 @@
-"""hookport: a request limiter on real sockets, round the decisions of aniseshed."""
+"""hookport: an asyncio daemon that limits and forwards requests, driven by the policy in aniseshed."""
 
 __version__ = "0.2.0"
--- a/hookport/__main__.py
+++ b/hookport/__main__.py
@@ -1,4 +1,4 @@
-"""Start, signals and exit of one limiter: ``python -m hookport``."""
+"""The daemon's entry point: startup, signal handling and exit of one limiter (``python -m hookport``)."""
 
 from __future__ import annotations
 
@@ -15,34 +15,35 @@
 from hookport.config import Config, ConfigError, load_config
 from hookport.node import Node
 
-LONGEST_LINE = 400  # characters of a log line: what a peer sends must not fill the log
-LINES_A_SECOND = 50
+# Log lines may quote what a peer sent, so their length and rate are limited to keep the log from filling up.
+MAX_LINE_CHARS = 400
+MAX_LINES_PER_SECOND = 50
 
 
-class Bounded(logging.Filter):
-    """Guards against a log without bounds: long lines are cut, and a flood of lines is dropped."""
+class RateLimitFilter(logging.Filter):
+    """Truncates long log lines and drops lines beyond the maximum rate."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.second, self.lines = 0, 0
+        self.second, self.line_count = 0, 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         if int(record.created) != self.second:
-            self.second, self.lines = int(record.created), 0
-        self.lines += 1
-        record.msg, record.args = record.getMessage()[:LONGEST_LINE], ()
-        return self.lines <= LINES_A_SECOND
+            self.second, self.line_count = int(record.created), 0
+        self.line_count += 1
+        record.msg, record.args = record.getMessage()[:MAX_LINE_CHARS], ()
+        return self.line_count <= MAX_LINES_PER_SECOND
 
 
-def stray(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """An exception that no code caught: told with its place, and the limiter goes on."""
+def log_unhandled(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    """Log an exception that reached the event loop with its traceback; the process keeps running."""
     logging.getLogger("hookport").error(
-        "unhandled: %s", context.get("message"), exc_info=context.get("exception")
+        "unhandled exception: %s", context.get("message"), exc_info=context.get("exception")
     )
 
 
 def reload(node: Node) -> None:
-    """Guards against a bad file ending what serves: it is told, and the old configuration stays."""
+    """Apply the configuration file again; if it is invalid, log why and keep the current configuration."""
     try:
         node.reconfigure(load_config(os.environ, reloading=True))
     except ConfigError as error:
@@ -50,24 +51,25 @@
 
 
 async def serve(config: Config) -> None:
+    """Run one limiter until it has shut down."""
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(stray)
+    loop.set_exception_handler(log_unhandled)
     node = Node(config, loop)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, node.shut_down)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, node.shut_down)
     loop.add_signal_handler(signal.SIGHUP, reload, node)
     loop.add_signal_handler(signal.SIGUSR1, node.report)
     await node.start()
     gc.collect()
-    gc.freeze()  # what lives as long as the process is not walked again
+    gc.freeze()  # objects that live as long as the process are not scanned again
     await node.clients.done.wait()
     node.close()
 
 
 def main() -> int:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something that can take a new one
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # ignored until the node exists and can reload
     handler = logging.StreamHandler(sys.stderr)
-    handler.addFilter(Bounded())
+    handler.addFilter(RateLimitFilter())
     handler.setFormatter(logging.Formatter("%(asctime)s %(levelname)s %(name)s %(message)s"))
     logging.basicConfig(level=logging.INFO, handlers=[handler])
     try:
@@ -81,7 +83,7 @@
 
 if __name__ == "__main__":
     if len(sys.argv) > 1:
-        from hookport.cli import main as command  # only now: the daemon imports none of it
+        from hookport.cli import main as command  # imported here because the daemon doesn't need it
 
         sys.exit(command())
     sys.exit(main())
--- a/hookport/cli.py
+++ b/hookport/cli.py
@@ -1,6 +1,6 @@
-"""The command line: ``hookport`` alone is the daemon, ``hookport COMMAND`` one of its tools.
+"""The command line: ``hookport`` without arguments runs the daemon, ``hookport COMMAND`` one of the tools.
 
-Nothing here imports a command's package before that command is called: the daemon pays for none of them.
+A command's package is imported only when that command runs, so that the daemon doesn't load any of them.
 """
 
 from __future__ import annotations
@@ -10,17 +10,29 @@
 from collections.abc import Callable, Sequence
 from importlib import metadata
 
-# A command, the module whose main(arguments) runs it, and what --help says of it.
+# Command -> module whose main(arguments) runs it, summary for --help.
 COMMANDS = {
-    "experiment": ("hookport.emulator.experiment_command", "what a setting is worth, over many days"),
-    "explore": ("hookport.emulator.explore", "play drawn days until a rule breaks; shrink those"),
-    "kept": ("hookport.membership.command", "show a kept list of servers and how far it is trusted by now"),
-    "options": ("hookport.options", "check a file of the daemon's own settings, or print its JSON Schema"),
-    "rehearse": ("hookport.rehearsal.command", "play an evening on loopback with real limiters and judge it"),
+    "experiment": (
+        "hookport.emulator.experiment_command",
+        "compare values of a setting over many simulated days",
+    ),
+    "explore": (
+        "hookport.emulator.explore",
+        "simulate random days until one breaks a rule, and shrink those that do",
+    ),
+    "kept": (
+        "hookport.membership.command",
+        "show a saved server list and how far each server is trusted now",
+    ),
+    "options": ("hookport.options", "validate an options file (HOOKPORT_OPTIONS), or print its JSON Schema"),
+    "rehearse": (
+        "hookport.rehearsal.command",
+        "run a plan on loopback with real limiters and check its result",
+    ),
 }
 HELP = """\
-usage: hookport                      the limiter itself, configured by the file that PROXY_CONFIG names
-       hookport COMMAND [ARGUMENTS]  one of the tools below; hookport COMMAND --help says more
+usage: hookport                      run the limiter, configured by the file named by PROXY_CONFIG
+       hookport COMMAND [ARGUMENTS]  run one of the tools below; see hookport COMMAND --help
        hookport --help | --version
 
 commands:
@@ -28,7 +40,7 @@
 
 
 def version() -> str:
-    """The version of the installed package, or of the source tree that runs uninstalled."""
+    """The version of the installed package, or of the source tree if it is not installed."""
     try:
         return metadata.version("hookport")
     except metadata.PackageNotFoundError:
@@ -38,34 +50,37 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run one command; returns its exit status, 2 for words that name none."""
-    words = list(sys.argv[1:] if arguments is None else arguments)
-    if not words:
+    """Run one command; returns its exit status, or 2 for an unknown command or a missing package."""
+    args = list(sys.argv[1:] if arguments is None else arguments)
+    if not args:
         from hookport.__main__ import main as daemon
 
         return daemon()
-    if words[0] in ("-h", "--help", "help"):
-        rows = "".join(f"  {name:<11} {told}\n" for name, (_, told) in COMMANDS.items())
+    if args[0] in ("-h", "--help", "help"):
+        rows = "".join(f"  {name:<11} {summary}\n" for name, (_, summary) in COMMANDS.items())
         print(HELP + rows, end="")
         return 0
-    if words[0] in ("-V", "--version"):
+    if args[0] in ("-V", "--version"):
         print(f"hookport {version()}")
         return 0
-    if words[0] not in COMMANDS:
-        print(f"hookport: no command {words[0]!r}; there is {', '.join(COMMANDS)} (--help)", file=sys.stderr)
+    if args[0] not in COMMANDS:
+        print(
+            f"hookport: unknown command {args[0]!r}; must be one of {', '.join(COMMANDS)} (see --help)",
+            file=sys.stderr,
+        )
         return 2
     try:
-        module = importlib.import_module(COMMANDS[words[0]][0])
+        module = importlib.import_module(COMMANDS[args[0]][0])
     except ModuleNotFoundError as error:
         if error.name and error.name.split(".")[0] in ("hookport", "aniseshed"):
             raise
         print(
-            f"hookport {words[0]}: it needs the package {error.name}: pip install 'hookport[rehearsal]'",
+            f"hookport {args[0]}: the package {error.name} is missing: pip install 'hookport[rehearsal]'",
             file=sys.stderr,
         )
         return 2
     run: Callable[[Sequence[str]], int] = module.main
-    return run(words[1:])
+    return run(args[1:])
 
 
 if __name__ == "__main__":
