--- a/hookport/limits/__init__.py
+++ b/hookport/limits/__init__.py
@@ -1,8 +1,8 @@
-"""RESP commands for limits: ask whether a request fits its customer's quota, from any Redis client.
+"""RESP commands that let any Redis client check a request against its customer's quota.
 
-``session`` is what ordinary clients say before they ask, ``ledger`` remembers what was answered under which
-id, both without I/O or a clock; ``users`` knows who may ask what; ``front`` puts them on the daemon's
-connections.  Nothing here decides on a quota: the module does."""
+``session`` implements the connection commands and ``ledger`` the idempotency of takes, both without I/O or a
+clock; ``users`` authenticates and authorizes; ``front`` connects them to the daemon's connections. Quota
+decisions are made by the policy (``aniseshed``), not here."""
 
 from hookport.limits.front import Front
 from hookport.limits.ledger import Ledger, Taken
--- a/hookport/limits/ledger.py
+++ b/hookport/limits/ledger.py
@@ -1,22 +1,22 @@
-"""What was answered under which id: the same id asked again gets the same answer, and takes nothing more.
+"""Idempotency of takes: a repeated id gets the reply of the first request and takes no further units.
 
-Held for ``keep_ns`` and for ``most`` ids.  When they are more, the oldest go first, and their ids are new
-again: the promise then lasts for as long as ``most`` ids take to come."""
+Records are kept for ``keep_ns``, and at most ``most`` of them. Beyond that the oldest are evicted and
+their ids count as new, so a repeat is recognized only until ``most`` later ids have arrived."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from dataclasses import dataclass
 
-Key = tuple[bytes | None, bytes]  # a user and an id: nobody's ids are another's
+Key = tuple[bytes | None, bytes]  # user and request id: each user has its own ids
 
 
 @dataclass(slots=True)
 class Taken:
-    """What an id was asked for, and what was answered.
+    """The request made under one id and its reply.
 
-    ``about`` tells a repeat from another question; ``units`` are those that were taken, 0 if it was refused;
-    ``answer`` is None while it is open."""
+    ``about`` holds the request's parameters, which a repeat must match; ``units`` is the amount taken, 0 if
+    the request was refused; ``answer`` is None while the request is pending."""
 
     about: tuple[object, ...]
     customer: int
@@ -27,20 +27,20 @@
 
 
 class Ledger:
-    """Ids in the order in which they came.  Times in nanoseconds, handed in."""
+    """Records by user and id, in order of arrival. The caller passes the time in."""
 
     def __init__(self, keep_ns: int, most: int) -> None:
         self.keep_ns, self.most = keep_ns, most
-        # Guards against a walk over what has gone: the first of a plain dict lies behind all deleted ones.
+        # Finding the first key of a plain dict skips every deleted entry before it; OrderedDict doesn't.
         self.taken: OrderedDict[Key, Taken] = OrderedDict()
 
     def find(self, now_ns: int, key: Key) -> Taken | None:
-        """What is known under an id."""
+        """Return the record of an id, or None if there is none or it has expired."""
         taken = self.taken.get(key)
         return taken if taken and now_ns - taken.at_ns < self.keep_ns else None
 
     def open(self, now_ns: int, key: Key, about: tuple[object, ...], customer: int) -> Taken:
-        """A question under a new id."""
+        """Add a record for a new id, and evict records that expired or exceed the limit."""
         self.taken.pop(key, None)
         taken = self.taken[key] = Taken(about, customer, now_ns)
         while True:
@@ -50,11 +50,11 @@
             del self.taken[oldest]
 
     def drop(self, key: Key) -> None:
-        """Nothing was answered, and nothing taken."""
+        """Remove the record of a request that took nothing, so that its id can be used again."""
         self.taken.pop(key, None)
 
     def give_back(self, now_ns: int, key: Key) -> Taken | None:
-        """Mark what was taken as unused; None if nothing was, or it was given back before."""
+        """Mark the units of an id as given back; None if it took none or they were already given back."""
         taken = self.find(now_ns, key)
         if taken is None or not taken.units or taken.given_back:
             return None
--- a/hookport/limits/users.py
+++ b/hookport/limits/users.py
@@ -1,4 +1,4 @@
-"""Who may ask: users with a secret, the commands each may use and the customers each may ask for."""
+"""Authentication and authorization of limit commands: users, their secrets, commands and customers."""
 
 from __future__ import annotations
 
@@ -9,40 +9,48 @@
 
 from hookport.options import LimitUser, OptionsError
 
-NOBODY = hashlib.sha256(b"").digest()
+# Compared for unknown users, so that the response time doesn't reveal whether a user exists.
+DUMMY_DIGEST = hashlib.sha256(b"").digest()
 
 
 class Users:
-    """Without any user listed, whoever connects may do everything."""
+    """The configured users; if there are none, every connection may use every command."""
 
     def __init__(self, users: Sequence[LimitUser], environ: Mapping[str, str] = os.environ) -> None:
         self.users = {user.name.encode(): user for user in users}
-        self.secrets = {user.name.encode(): self.secret(user, environ) for user in users}
+        self.secret_digests = {user.name.encode(): self.load_secret_digest(user, environ) for user in users}
 
     @staticmethod
-    def secret(user: LimitUser, environ: Mapping[str, str]) -> bytes:
-        """The digest of a user's secret; raises OptionsError that names the user, never the secret."""
+    def load_secret_digest(user: LimitUser, environ: Mapping[str, str]) -> bytes:
+        """Return the digest of a user's secret; raises OptionsError, which never contains the secret."""
         if bool(user.secret_file) == bool(user.secret_env):
-            raise OptionsError(f"limits.users: {user.name}: name secret_file or secret_env, one of them")
+            raise OptionsError(
+                f"limits.users: {user.name}: name secret_file or secret_env, exactly one of them"
+            )
         try:
             if user.secret_file:
                 with open(user.secret_file, "rb") as file:
-                    told = file.read(4096).rstrip(b"\r\n")
+                    secret = file.read(4096).rstrip(b"\r\n")
             else:
-                told = environ.get(user.secret_env, "").encode()
+                secret = environ.get(user.secret_env, "").encode()
         except OSError as error:
             raise OptionsError(f"limits.users: {user.name}: {user.secret_file}: {error.strerror}") from error
-        if len(told) < 8:
-            raise OptionsError(f"limits.users: {user.name}: its secret has {len(told)} bytes; 8 at least")
-        return hashlib.sha256(told).digest()
+        if len(secret) < 8:
+            raise OptionsError(
+                f"limits.users: {user.name}: its secret has {len(secret)} bytes; it needs at least 8"
+            )
+        return hashlib.sha256(secret).digest()
 
     def admit(self, name: bytes, secret: bytes) -> bool:
-        """Whether the secret is this user's; takes as long for a user that there is not."""
-        told = hashlib.sha256(secret).digest()
-        return hmac.compare_digest(told, self.secrets.get(name, NOBODY)) and name in self.secrets
+        """Check a user's secret; takes the same time whether or not the user exists."""
+        digest = hashlib.sha256(secret).digest()
+        return (
+            hmac.compare_digest(digest, self.secret_digests.get(name, DUMMY_DIGEST))
+            and name in self.secret_digests
+        )
 
     def may(self, name: bytes | None, command: str, customer: int | None) -> bool:
-        """Whether a user may use a command ("take", "peek", "give"), and for this customer."""
+        """Whether a user may run a command ("take", "peek" or "give"), for ``customer`` unless it is None."""
         if not self.users:
             return True
         user = self.users.get(name) if name is not None else None
