--- a/hookport/emulator/dawn.py
+++ b/hookport/emulator/dawn.py
@@ -15,8 +15,8 @@
 from hookport.emulator.clock import MS, SECOND, Clock
 from hookport.emulator.seat import Answer, Seat, settings
 from hookport.emulator.servers import Behaviour, Model, Server
-from hookport.membership.curve import Curve
-from hookport.membership.fleet import Address, Fleet, Held, Kept
+from hookport.membership.curve import TrustCurve
+from hookport.membership.fleet import Address, FleetView, Snapshot, SnapshotEntry
 
 START_NS = 1_800_000_000 * SECOND
 AGES_S = (1, 10, 60, 600, 3_600, 28_800, 86_400, 604_800)
@@ -82,7 +82,7 @@
     """One morning; the same for the same ``Morning``."""
     chance, clock, model = random.Random(told.seed), Clock(START_NS), Model()
     addresses: dict[Address, Server] = {}
-    held, truth = list[Held](), list[tuple[ServerEntry, Address]]()
+    held, truth = list[SnapshotEntry](), list[tuple[ServerEntry, Address]]()
     listed_ns = START_NS - round(told.age_s * SECOND)
     draining = set(chance.sample(range(told.servers), max(1, told.servers // 10)))
     for n in range(told.servers):
@@ -94,7 +94,7 @@
             behaviour, same = chance.choice((Behaviour.SERVES, Behaviour.DRAINS, Behaviour.REFUSES)), False
         addresses[place] = Server(clock, model, behaviour, born_ns)
         entry = ServerEntry(id, 0, 0, 0, health, 1.0, 0)
-        held.append(Held(entry, place, 40, listed_ns, listed_ns))
+        held.append(SnapshotEntry(entry, place, 40, listed_ns, listed_ns))
         if behaviour is Behaviour.SERVES:
             born_ms = born_ns // MS * MS
             now = replace(entry, server=id if same else id + b"-new", health=Health.READY, born_ns=born_ms)
@@ -108,21 +108,22 @@
 
 
 def seat(told: Morning, index: int, clock: Clock, model: Model, addresses: dict[Address, Server],
-         held: list[Held], truth: list[tuple[ServerEntry, Address]]) -> Seat:  # fmt: skip
+         held: list[SnapshotEntry], truth: list[tuple[ServerEntry, Address]]) -> Seat:  # fmt: skip
     """A limiter that starts now."""
     fleet = (
-        Fleet("dawn", index, told.limiters, Curve(), round(FORGET_S * SECOND))
+        FleetView("dawn", index, told.limiters, TrustCurve(), round(FORGET_S * SECOND))
         if told.mode == "kept"
         else None
     )
     made = settings(index, told.limiters, model.cold_s, model.cold_from)
     seat = Seat(clock, made, told.seed * 100 + index, addresses, fleet)
     if fleet:
-        kept = Kept("dawn", 40, held[0].told_ns, tuple(held), {})
+        kept = Snapshot("dawn", 40, held[0].confirmed_ns, tuple(held), {})
         seat.out(fleet.start(clock.now_ns, kept, ServerList(ListKind.CACHED, ()), {}))
     elif told.mode == "as-told":
         seat.listed(
-            ServerList(ListKind.CACHED, tuple(h.entry for h in held)), {h.entry.server: h.place for h in held}
+            ServerList(ListKind.CACHED, tuple(h.entry for h in held)),
+            {h.entry.server: h.address for h in held},
         )
     elif told.mode == "discovery":
         seat.listed(ServerList(ListKind.FULL, tuple(e for e, _ in truth)), {e.server: p for e, p in truth})
--- a/hookport/emulator/seat.py
+++ b/hookport/emulator/seat.py
@@ -11,7 +11,7 @@
 from aniseshed.policy import Limiter
 from hookport.emulator.clock import MS, SECOND, Clock
 from hookport.emulator.servers import Job, Server
-from hookport.membership.fleet import Address, Fleet, Update
+from hookport.membership.fleet import Address, FleetView, Update
 
 TICK_NS = 250 * MS
 
@@ -42,7 +42,7 @@
         settings: api.Settings,
         seed: int,
         addresses: Mapping[Address, Server],
-        fleet: Fleet | None,
+        fleet: FleetView | None,
     ) -> None:
         self.clock, self.settings, self.addresses, self.fleet = clock, settings, addresses, fleet
         self.limiter = Limiter(settings, seed)
@@ -64,8 +64,8 @@
         self.feed(told)
 
     def out(self, update: Update | None) -> None:
-        if update and update.listed:
-            self.listed(update.listed, update.places)
+        if update and update.server_list:
+            self.listed(update.server_list, update.addresses)
 
     def tick(self) -> None:
         if self.fleet:
@@ -135,7 +135,7 @@
         elapsed_ns = self.clock.now_ns - sent_ns
         self.feed(api.AttemptEnded(*key, server, outcome, elapsed_ns, key[0] not in self.open, 0, 0, ()))
         if self.fleet:
-            self.out(self.fleet.ended(self.clock.now_ns, server, outcome))
+            self.out(self.fleet.record_outcome(self.clock.now_ns, server, outcome))
 
     def give_up(self, key: tuple[int, int], outcome: api.Outcome) -> None:
         if key in self.jobs:
--- a/hookport/membership/__init__.py
+++ b/hookport/membership/__init__.py
@@ -4,8 +4,19 @@
 ``words`` that of the datagrams between limiters; ``files`` and ``members`` put them on a disk and into the
 daemon."""
 
-from hookport.membership.curve import Curve, Point
-from hookport.membership.fleet import Fleet, Gone, Held, Kept, Report, Source, Update
-from hookport.membership.members import Members
+from hookport.membership.curve import TrustCurve, TrustPoint
+from hookport.membership.fleet import FleetView, Gone, Report, Snapshot, SnapshotEntry, Source, Update
+from hookport.membership.members import MembershipManager
 
-__all__ = ["Curve", "Fleet", "Gone", "Held", "Kept", "Members", "Point", "Report", "Source", "Update"]
+__all__ = [
+    "TrustCurve",
+    "FleetView",
+    "Gone",
+    "SnapshotEntry",
+    "Snapshot",
+    "MembershipManager",
+    "TrustPoint",
+    "Report",
+    "Source",
+    "Update",
+]
--- a/hookport/membership/command.py
+++ b/hookport/membership/command.py
@@ -12,9 +12,9 @@
 from aniseshed.interface import Health, ListKind, ServerList
 from hookport.config import Names
 from hookport.membership import kept as form
-from hookport.membership.curve import SECOND_NS, Curve
+from hookport.membership.curve import SECOND_NS, TrustCurve
 from hookport.membership.files import Local
-from hookport.membership.fleet import Fleet
+from hookport.membership.fleet import FleetView
 
 NOBODY = Names({}, {}, {}, {})
 ALL_NS = 1 << 62
@@ -31,8 +31,8 @@
         why = error.strerror if isinstance(error, OSError) else error
         print(f"hookport kept: {told.file}: {why}; remove it to start without it", file=sys.stderr)
         return 2
-    now_ns, curve = time.time_ns(), Curve()
-    fleet = Fleet(kept.fleet, 0, 1, curve, ALL_NS)
+    now_ns, curve = time.time_ns(), TrustCurve()
+    fleet = FleetView(kept.fleet, 0, 1, curve, ALL_NS)
     fleet.start(now_ns, kept, ServerList(ListKind.CACHED, ()), {})
     whole = {
         "fleet": kept.fleet,
@@ -43,13 +43,13 @@
     }
     print(json.dumps(whole))
     for held in kept.servers:
-        point = curve.at(now_ns - held.told_ns)
+        point = curve.at(now_ns - held.confirmed_ns)
         row = {
             "server": held.entry.server.decode(),
-            "address": f"{held.place[0]}:{held.place[1]}",
+            "address": f"{held.address[0]}:{held.address[1]}",
             "state": held.entry.health.name.lower(),
-            "told_s_ago": round((now_ns - held.told_ns) / SECOND_NS, 1),
-            "answered_s_ago": round((now_ns - held.heard_ns) / SECOND_NS, 1) if held.heard_ns else None,
+            "told_s_ago": round((now_ns - held.confirmed_ns) / SECOND_NS, 1),
+            "answered_s_ago": round((now_ns - held.answered_ns) / SECOND_NS, 1) if held.answered_ns else None,
         }
         if held.entry.health is Health.READY:
             row["trust"] = fleet.beliefs[held.entry.server].trust.name.lower()
--- a/hookport/membership/curve.py
+++ b/hookport/membership/curve.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Point:
+class TrustPoint:
     """What holds at one age.
 
     ``age_s``: seconds since somebody vouched for the server; ``open_part``: of the list, from 0 to 1, that is
@@ -30,19 +30,19 @@
 
 # Reasons, row by row: docs/design/kept-list.md.
 DEFAULT = (
-    Point(5, 1.0, 0, True),
-    Point(60, 1.0, 1, True),
-    Point(600, 0.5, 1, False),
-    Point(3_600, 0.35, 2, False),
-    Point(86_400, 0.25, 3, False),
-    Point(604_800, 0.15, 4, False),
+    TrustPoint(5, 1.0, 0, True),
+    TrustPoint(60, 1.0, 1, True),
+    TrustPoint(600, 0.5, 1, False),
+    TrustPoint(3_600, 0.35, 2, False),
+    TrustPoint(86_400, 0.25, 3, False),
+    TrustPoint(604_800, 0.15, 4, False),
 )
 
 
-class Curve:
+class TrustCurve:
     """A table of points, by age; raises ValueError with what is wrong in it."""
 
-    def __init__(self, points: Sequence[Point] = DEFAULT) -> None:
+    def __init__(self, points: Sequence[TrustPoint] = DEFAULT) -> None:
         if not points:
             raise ValueError("the table is empty: it needs a row at least")
         for n, point in enumerate(points):
@@ -61,7 +61,7 @@
                 raise ValueError(f"row {n}: an older list would be trusted further than at {young.age_s:g} s")
         self.points = tuple(points)
 
-    def at(self, age_ns: int) -> Point:
+    def at(self, age_ns: int) -> TrustPoint:
         """What holds at an age in nanoseconds; one below 0 comes from a clock that was wrong, and is the
         oldest."""
         points, age_s = self.points, age_ns / SECOND_NS
@@ -72,7 +72,7 @@
         n = next(n for n, point in enumerate(points) if point.age_s >= age_s)
         young, old = points[n - 1], points[n]
         way = math.log(age_s / young.age_s) / math.log(old.age_s / young.age_s)
-        return Point(
+        return TrustPoint(
             age_s,
             young.open_part + way * (old.open_part - young.open_part),
             math.ceil(young.answers + way * (old.answers - young.answers) - 1e-9),
--- a/hookport/membership/fleet.py
+++ b/hookport/membership/fleet.py
@@ -27,7 +27,7 @@
 from enum import Enum, IntEnum
 
 from aniseshed.interface import Health, ListKind, Outcome, ServerEntry, ServerList, Trust
-from hookport.membership.curve import SECOND_NS, Curve
+from hookport.membership.curve import SECOND_NS, TrustCurve
 
 Address = tuple[str, int]
 
@@ -94,26 +94,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
-    """One server of a kept list; ``told_ns`` is when somebody last vouched for it, ``heard_ns`` its last
-    answer."""
+class SnapshotEntry:
+    """One server of a snapshot: ``confirmed_ns`` is when a source last confirmed it, ``answered_ns`` when it
+    last answered."""
 
     entry: ServerEntry
-    place: Address
+    address: Address
     generation: int
-    told_ns: int
-    heard_ns: int
+    confirmed_ns: int
+    answered_ns: int
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class Snapshot:
     """A list as it is kept: whose fleet it is, its generation, when it was written, its servers, and who has
     gone."""
 
     fleet: str
     generation: int
     saved_ns: int
-    servers: tuple[Held, ...]
+    servers: tuple[SnapshotEntry, ...]
     gone: Mapping[bytes, Gone]
 
 
@@ -147,12 +147,12 @@
 class Update:
     """What changed: a list for the module with the servers' addresses, if any, and lines for the log."""
 
-    listed: ServerList | None = None
-    places: dict[bytes, Address] = field(default_factory=dict)
+    server_list: ServerList | None = None
+    addresses: dict[bytes, Address] = field(default_factory=dict)
     lines: list[str] = field(default_factory=list)
 
 
-class Fleet:
+class FleetView:
     """The beliefs of one limiter.
 
     ``place`` and ``limiters`` are its number in the tier and how many there are.  ``loss_part``: a whole list
@@ -164,7 +164,7 @@
         fleet: str,
         place: int,
         limiters: int,
-        curve: Curve,
+        curve: TrustCurve,
         forget_ns: int,
         loss_part: float = 0.0,
         doubt_ns: int = 60 * SECOND_NS,
@@ -188,7 +188,7 @@
     def start(
         self,
         now_ns: int,
-        kept: Kept | None,
+        kept: Snapshot | None,
         listed: ServerList,
         places: Mapping[bytes, Address],
         generation: int = 0,
@@ -204,9 +204,9 @@
             self.generation, newer = kept.generation, generation > kept.generation > 0
             listed_ns = kept.saved_ns if newer else 0
             for held in kept.servers[:MOST_SERVERS]:
-                if held.entry.health is not Health.GONE and now_ns - held.told_ns < self.forget_ns:
-                    told = held.generation, held.told_ns, held.heard_ns
-                    self.beliefs[held.entry.server] = Belief(held.entry, held.place, Source.KEPT, *told)
+                if held.entry.health is not Health.GONE and now_ns - held.confirmed_ns < self.forget_ns:
+                    told = held.generation, held.confirmed_ns, held.answered_ns
+                    self.beliefs[held.entry.server] = Belief(held.entry, held.address, Source.KEPT, *told)
         if newer:
             named = {entry.server for entry in listed.entries}
             for server in [s for s in self.beliefs if s not in named]:
@@ -224,8 +224,8 @@
         for belief in self.beliefs.values():
             belief.presumed_ns = now_ns
         update = self.changed(now_ns, lines)
-        entries = update.listed.entries if update.listed else ()
-        return Update(ServerList(ListKind.CACHED, entries), update.places, update.lines)
+        entries = update.server_list.entries if update.server_list else ()
+        return Update(ServerList(ListKind.CACHED, entries), update.addresses, update.lines)
 
     def part_addresses(self) -> list[str]:
         """Guards against two names of one address, one of which is another server's by now: the later word
@@ -379,7 +379,7 @@
 
     # Proof
 
-    def ended(self, now_ns: int, server: bytes, outcome: Outcome) -> Update | None:
+    def record_outcome(self, now_ns: int, server: bytes, outcome: Outcome) -> Update | None:
         """An attempt at a server, or a probe, ended."""
         belief = self.beliefs.get(server)
         if belief is None:
@@ -491,15 +491,17 @@
 
     # What is kept, and told
 
-    def kept(self, now_ns: int) -> Kept:
+    def kept(self, now_ns: int) -> Snapshot:
         """The list as it is to be kept; doubted servers are left out, as discovery did not name them."""
         self.trim(now_ns)
         servers = tuple(
-            Held(b.entry, b.place, b.generation, now_ns if self.live else self.vouched_ns(b), b.heard_ns)
+            SnapshotEntry(
+                b.entry, b.place, b.generation, now_ns if self.live else self.vouched_ns(b), b.heard_ns
+            )
             for b in self.beliefs.values()
             if not b.absent_ns
         )
-        return Kept(self.fleet, self.generation, now_ns, servers, dict(self.gone))
+        return Snapshot(self.fleet, self.generation, now_ns, servers, dict(self.gone))
 
     def report(self, now_ns: int) -> Report:
         """How far the list is trusted at this moment."""
--- a/hookport/membership/kept.py
+++ b/hookport/membership/kept.py
@@ -18,7 +18,7 @@
 from aniseshed.interface import Health
 from hookport.config import Names
 from hookport.discovery import HEALTHS, read_entry
-from hookport.membership.fleet import MOST_GONE, MOST_SERVERS, Gone, Held, Kept
+from hookport.membership.fleet import MOST_GONE, MOST_SERVERS, Gone, Snapshot, SnapshotEntry
 
 VERSION = 1
 LARGEST = 16 << 20  # bytes of a file that is read at all
@@ -31,7 +31,7 @@
     """A file that cannot be used; the text says why, and what would do."""
 
 
-def write(kept: Kept, names: Names) -> bytes:
+def write(kept: Snapshot, names: Names) -> bytes:
     """The bytes of a list."""
     zones, kinds = ({at: name for name, at in each.items()} for each in (names.zones, names.kinds))
     told = {
@@ -48,11 +48,11 @@
     return b"hookport-kept %d %08x %d\n" % (VERSION, zlib.crc32(body), len(body)) + body
 
 
-def row(held: Held, zones: Mapping[int, str], kinds: Mapping[int, str]) -> dict[str, Any]:
+def row(held: SnapshotEntry, zones: Mapping[int, str], kinds: Mapping[int, str]) -> dict[str, Any]:
     entry = held.entry
     return {
         "instanceId": entry.server.decode(),
-        "hostPort": f"{held.place[0]}:{held.place[1]}",
+        "hostPort": f"{held.address[0]}:{held.address[1]}",
         "zone": zones.get(entry.zone, ""),
         "machineType": kinds.get(entry.kind, ""),
         "cell": entry.cell,
@@ -60,12 +60,12 @@
         "weight": entry.weight,
         "startedAtMs": entry.born_ns // 1_000_000,
         "generation": held.generation,
-        "toldNs": held.told_ns,
-        "heardNs": held.heard_ns,
+        "toldNs": held.confirmed_ns,
+        "heardNs": held.answered_ns,
     }
 
 
-def read(data: bytes, names: Names) -> Kept:
+def read(data: bytes, names: Names) -> Snapshot:
     """A list from its bytes; raises KeptError on whatever is not one whole list as it was written."""
     head = HEAD.match(data)
     if head is None:
@@ -87,16 +87,20 @@
         }
         if len(servers) > MOST_SERVERS or len(gone) > MOST_GONE + MOST_SERVERS:
             raise ValueError(f"{len(servers)} servers, {len(gone)} gone")
-        return Kept(str(told["fleet"]), number(told["generation"]), moment(told["saved_ns"]), servers, gone)
+        return Snapshot(
+            str(told["fleet"]), number(told["generation"]), moment(told["saved_ns"]), servers, gone
+        )
     except Exception as error:
         raise KeptError(f"it holds no list of servers: {type(error).__name__}: {error}") from error
 
 
-def held(told: dict[str, Any], names: Names) -> Held:
+def held(told: dict[str, Any], names: Names) -> SnapshotEntry:
     entry, place = read_entry(told, names)
     if entry.health is Health.GONE:
         raise ValueError(f"{entry.server!r:.40} is gone: only servers are listed")
-    return Held(entry, place, number(told["generation"]), moment(told["toldNs"]), moment(told["heardNs"]))
+    return SnapshotEntry(
+        entry, place, number(told["generation"]), moment(told["toldNs"]), moment(told["heardNs"])
+    )
 
 
 def number(told: object) -> int:
--- a/hookport/membership/members.py
+++ b/hookport/membership/members.py
@@ -1,9 +1,9 @@
 """The beliefs put into the daemon: discovery's word goes through them to the module, and they are kept on
 disk.
 
-Off, the daemon hands discovery's lists to the module as they come.  On, ``Members`` stands between the two.
-It decides nothing (``Fleet`` does) and holds no request up: the disk is written by a thread, one write at a
-time."""
+Off, the daemon hands lists of discovery to the module as they come.  On, ``MembershipManager`` stands between
+the two.  It decides nothing (``FleetView`` does) and holds no request up: the disk is written by a thread,
+one write at a time."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from hookport.config import Address, Names
 from hookport.membership import kept as form
 from hookport.membership import words
-from hookport.membership.curve import DEFAULT, SECOND_NS, Curve, Point
+from hookport.membership.curve import DEFAULT, SECOND_NS, TrustCurve, TrustPoint
 from hookport.membership.files import File
-from hookport.membership.fleet import Fleet, State, Update
+from hookport.membership.fleet import FleetView, State, Update
 from hookport.options import Membership
 
 log = logging.getLogger("hookport.membership")
@@ -48,7 +48,7 @@
     heard_s: float
 
 
-class Members:
+class MembershipManager:
     """``now_ns`` is the module's clock, in Unix nanoseconds; ``index`` of ``limiters`` is this limiter."""
 
     def __init__(
@@ -68,12 +68,12 @@
     ) -> None:
         self.loop, self.options, self.names, self.door, self.now_ns = loop, options, names, door, now_ns
         self.may_probe, self.random = may_probe, random.Random(seed)
-        rows = [Point(r.age_s, r.open_part, r.answers, r.claims) for r in options.trust]
-        self.fleet = Fleet(
+        rows = [TrustPoint(r.age_s, r.open_part, r.answers, r.claims) for r in options.trust]
+        self.fleet = FleetView(
             options.fleet or fleet,
             index,
             limiters,
-            Curve(rows or DEFAULT),
+            TrustCurve(rows or DEFAULT),
             round(options.forget_s * SECOND_NS),
             options.loss_part,
             round(options.doubt_s * SECOND_NS),
@@ -91,7 +91,7 @@
 
     # From discovery
 
-    def told(self, told: ServerList, places: dict[bytes, Address]) -> None:
+    def receive_list(self, told: ServerList, places: dict[bytes, Address]) -> None:
         """In the place of the daemon's own ``listed``."""
         now_ns = self.now_ns()
         generation = self.discovery.generation if self.discovery else 0
@@ -112,22 +112,22 @@
         self.dirty = True
         self.spread_word()
 
-    def alive(self) -> None:
+    def watch_active(self) -> None:
         """The watch spoke."""
         if update := self.fleet.alive(self.now_ns()):
             self.out(update)
 
-    def moved(self, fleet: str) -> None:
+    def change_discovery(self, fleet: str) -> None:
         self.fleet.moved(self.options.fleet or fleet)
 
-    def wait_s(self, wait_s: float) -> float:
+    def jittered_wait_s(self, wait_s: float) -> float:
         """How long to wait before discovery is asked again: spread, so that limiters do not ask as one."""
         return wait_s * self.random.uniform(0.5, 1.5)
 
     # From servers
 
-    def ended(self, server: bytes, outcome: Outcome) -> None:
-        if update := self.fleet.ended(self.now_ns(), server, outcome):
+    def record_outcome(self, server: bytes, outcome: Outcome) -> None:
+        if update := self.fleet.record_outcome(self.now_ns(), server, outcome):
             self.out(update)
 
     def probe(self) -> None:
@@ -144,11 +144,11 @@
     def probed(self, server: bytes, well: bool) -> None:
         self.probing -= 1
         if not self.closed:
-            self.ended(server, Outcome.OK if well else Outcome.CONNECT_FAILED)
+            self.record_outcome(server, Outcome.OK if well else Outcome.CONNECT_FAILED)
 
     # Between limiters
 
-    def word(self, payload: bytes) -> None:
+    def receive_message(self, payload: bytes) -> None:
         """A datagram of this kind came."""
         now_s = self.loop.time()
         if payload == words.ASK:
@@ -184,7 +184,7 @@
             if self.may_probe:
                 self.probe()
             if self.fleet.state in (State.KEPT, State.CONFIGURATION) and now_s >= self.ask_s:
-                self.ask_s = now_s + self.wait_s(ASK_S)
+                self.ask_s = now_s + self.jittered_wait_s(ASK_S)
                 self.door.say(None, words.ASK)
         self.spread_word()
         if now_s >= self.again_s and (self.dirty or now_s - self.saved_s >= self.options.refresh_s):
@@ -194,10 +194,10 @@
     def out(self, update: Update) -> None:
         for line in update.lines:
             log.info("%s", line)
-        if update.listed:
-            self.door.listed(update.listed, update.places)
+        if update.server_list:
+            self.door.listed(update.server_list, update.addresses)
 
-    def line(self) -> str:
+    def status_line(self) -> str:
         """How far the servers are trusted, for the log."""
         return self.fleet.report(self.now_ns()).line()
 
--- a/hookport/membership/words.py
+++ b/hookport/membership/words.py
@@ -4,7 +4,7 @@
     F! DIGEST...    these drain or have gone, 8 bytes each, the youngest first
 
 A digest is the first 8 bytes of BLAKE2b of the server's id (RFC 7693): ids may be of any length, and a word
-that is misread for another's is one in 2^64.  Such a word can only take trust away (``Fleet.warned``)."""
+that is misread for another's is one in 2^64.  Such a word can only take trust away (``FleetView.warned``)."""
 
 from __future__ import annotations
 
--- a/hookport/node.py
+++ b/hookport/node.py
@@ -20,7 +20,7 @@
 
 if TYPE_CHECKING:
     from hookport.limits import Front
-    from hookport.membership import Members
+    from hookport.membership import MembershipManager
     from hookport.peers import Peers
 
 log = logging.getLogger("hookport.node")
@@ -84,8 +84,8 @@
         self.servers = Servers(loop, self.attempt_ended, connect_s, idle_s, for_servers, unread)
         self.members = self.believe() if config.options and config.options.membership else None
         follow, members = not settings.subscribe, self.members
-        told = members.told if members else self.listed
-        more = (members.alive, members.wait_s) if members else ()
+        told = members.receive_list if members else self.listed
+        more = (members.watch_active, members.jittered_wait_s) if members else ()
         self.discovery = Discovery(loop, config.discovery, config.names, told, connect_s, follow, *more)
         if members:
             members.discovery = self.discovery
@@ -122,14 +122,14 @@
         options = self.config.options.limits
         return Front(self.loop, options, self.grammar, self.settings, self, __version__, Users(options.users))
 
-    def believe(self) -> Members:
+    def believe(self) -> MembershipManager:
         """What stands between discovery and the module, where the options switch it on."""
-        from hookport.membership import Members  # only here: off, it costs nothing
+        from hookport.membership import MembershipManager  # only here: off, it costs nothing
 
         config, settings = self.config, self.settings
         assert config.options and config.options.membership
         fleet = "{}:{}".format(*config.discovery)
-        return Members(
+        return MembershipManager(
             self.loop, config.options.membership, config.name, config.names, fleet, settings.index,
             settings.limiters, self, self.now_ns, settings.may_probe, config.seed,
         )  # fmt: skip
@@ -160,12 +160,12 @@
         """SIGUSR1: the state of the counter, since when, and the bound on the overrun, in the log."""
         log.info("%s", self.limiter.report().line())
         if self.members:
-            log.info("%s", self.members.line())
+            log.info("%s", self.members.status_line())
 
     def reconfigure(self, config: Config) -> None:
         """SIGHUP: go on with what is held, under new addresses; all else holds from start to exit."""
         if self.members and config.discovery != self.discovery.place:
-            self.members.moved("{}:{}".format(*config.discovery))
+            self.members.change_discovery("{}:{}".format(*config.discovery))
         self.discovery.move(config.discovery)
         if self.counter and config.counter:
             self.counter.move(config.counter)
@@ -314,7 +314,7 @@
             )
         )
         if self.members:
-            self.members.ended(attempt.server, outcome)
+            self.members.record_outcome(attempt.server, outcome)
 
     # Other actions and facts
 
@@ -356,7 +356,7 @@
 
     def peer_said(self, sender: int, payload: bytes) -> None:
         if self.members and payload.startswith(b"F"):
-            return self.members.word(payload)
+            return self.members.receive_message(payload)
         self.feed(api.PeerMessage(sender, payload))
 
     def listed(self, told: api.ServerList, places: dict[bytes, Address]) -> None:
--- a/hookport/options.py
+++ b/hookport/options.py
@@ -95,10 +95,12 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise OptionsError(f"{file}: not JSON: {error}") from error
     if options.membership and options.membership.trust:
-        from hookport.membership.curve import Curve, Point
+        from hookport.membership.curve import TrustCurve, TrustPoint
 
         try:
-            Curve([Point(r.age_s, r.open_part, r.answers, r.claims) for r in options.membership.trust])
+            TrustCurve(
+                [TrustPoint(r.age_s, r.open_part, r.answers, r.claims) for r in options.membership.trust]
+            )
         except ValueError as error:
             raise OptionsError(f"{file}: membership.trust: {error}") from error
     return options
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -13,8 +13,18 @@
 from aniseshed.interface import Health, ListKind, Outcome, ServerEntry, ServerList, Trust
 from aniseshed.state import Server, apply_list
 from hookport.membership import words
-from hookport.membership.curve import DEFAULT, SECOND_NS, Curve, Point
-from hookport.membership.fleet import GONE_NS, HOLD_NS, LEAST_OPEN, Fleet, Gone, Held, Kept, State, Update
+from hookport.membership.curve import DEFAULT, SECOND_NS, TrustCurve, TrustPoint
+from hookport.membership.fleet import (
+    GONE_NS,
+    HOLD_NS,
+    LEAST_OPEN,
+    FleetView,
+    Gone,
+    Snapshot,
+    SnapshotEntry,
+    State,
+    Update,
+)
 
 NOW = 1_800_000_000 * SECOND_NS
 DAY = 86_400
@@ -36,17 +46,17 @@
 
 def kept(
     age_s: float, *entries: ServerEntry, generation: int = 40, gone: dict[bytes, Gone] | None = None
-) -> Kept:
+) -> Snapshot:
     told_ns = NOW - round(age_s * SECOND_NS)
-    held = tuple(Held(e, place(int(e.server[2:])), generation, told_ns, told_ns) for e in entries)
-    return Kept("f", generation, told_ns, held, gone or {})
+    held = tuple(SnapshotEntry(e, place(int(e.server[2:])), generation, told_ns, told_ns) for e in entries)
+    return Snapshot("f", generation, told_ns, held, gone or {})
 
 
 class Believer:
     """A fleet and what the module makes of its lists."""
 
     def __init__(self, loss_part: float = 0.0, index: int = 0, limiters: int = 1) -> None:
-        self.fleet = Fleet("f", index, limiters, Curve(), 14 * DAY * SECOND_NS, loss_part)
+        self.fleet = FleetView("f", index, limiters, TrustCurve(), 14 * DAY * SECOND_NS, loss_part)
         self.servers: dict[bytes, Server] = {}
         self.now = NOW
         self.lines: list[str] = []
@@ -54,10 +64,10 @@
     def take(self, update: Update | None) -> None:
         if update:
             self.lines += update.lines
-            if update.listed:
-                apply_list(self.servers, update.listed)
+            if update.server_list:
+                apply_list(self.servers, update.server_list)
 
-    def start(self, list_kept: Kept | None, *known: ServerEntry, generation: int = 0) -> Believer:
+    def start(self, list_kept: Snapshot | None, *known: ServerEntry, generation: int = 0) -> Believer:
         told, places = listed(*known, kind=ListKind.CACHED)
         self.take(self.fleet.start(self.now, list_kept, told, places, generation))
         return self
@@ -66,7 +76,7 @@
         self.take(self.fleet.told(self.now, generation, *listed(*entries, kind=kind)))
 
     def ended(self, n: int, outcome: Outcome = Outcome.OK) -> None:
-        self.take(self.fleet.ended(self.now, b"s-%d" % n, outcome))
+        self.take(self.fleet.record_outcome(self.now, b"s-%d" % n, outcome))
 
     def wait(self, seconds: float) -> None:
         self.now += round(seconds * SECOND_NS)
@@ -139,8 +149,8 @@
 
 def test_of_two_names_of_one_address_the_later_word_counts() -> None:
     young = kept(10, entry(1)).servers[0]
-    old = replace(kept(3600, entry(2)).servers[0], place=young.place)
-    believer = Believer().start(Kept("f", 40, NOW, (young, old), {}))
+    old = replace(kept(3600, entry(2)).servers[0], address=young.address)
+    believer = Believer().start(Snapshot("f", 40, NOW, (young, old), {}))
     assert believer.trust(2) is Trust.NONE and believer.trust(1) is Trust.CAREFUL
     assert "share an address" in believer.lines[0]
 
@@ -242,19 +252,19 @@
 
 @pytest.mark.parametrize(
     ("points", "why"),
-    [([], "empty"), ([Point(0, 1, 0, True)], "row 0"), ([Point(1, 0, 0, True)], "row 0"),
-     ([Point(1, 1, 0, True), Point(1, 1, 0, True)], "row 1: age_s 1 does not come after 1"),
-     ([Point(1, 0.5, 0, True), Point(2, 1, 0, True)], "trusted further"),
-     ([Point(1, 1, 2, True), Point(2, 1, 1, True)], "trusted further"),
-     ([Point(1, 1, 0, False), Point(2, 1, 0, True)], "trusted further")],
+    [([], "empty"), ([TrustPoint(0, 1, 0, True)], "row 0"), ([TrustPoint(1, 0, 0, True)], "row 0"),
+     ([TrustPoint(1, 1, 0, True), TrustPoint(1, 1, 0, True)], "row 1: age_s 1 does not come after 1"),
+     ([TrustPoint(1, 0.5, 0, True), TrustPoint(2, 1, 0, True)], "trusted further"),
+     ([TrustPoint(1, 1, 2, True), TrustPoint(2, 1, 1, True)], "trusted further"),
+     ([TrustPoint(1, 1, 0, False), TrustPoint(2, 1, 0, True)], "trusted further")],
 )  # fmt: skip
-def test_a_table_that_trusts_the_older_more_is_turned_away(points: list[Point], why: str) -> None:
+def test_a_table_that_trusts_the_older_more_is_turned_away(points: list[TrustPoint], why: str) -> None:
     with pytest.raises(ValueError, match=why):
-        Curve(points)
+        TrustCurve(points)
 
 
 def test_between_the_rows_of_the_table_trust_never_rises() -> None:
-    curve, before = Curve(), Curve().at(0)
+    curve, before = TrustCurve(), TrustCurve().at(0)
     for step in range(1, 4000):
         point = curve.at(round(1.004**step * SECOND_NS / 10))
         assert point.open_part <= before.open_part and point.answers >= before.answers
--- a/tests/test_kept_list.py
+++ b/tests/test_kept_list.py
@@ -19,9 +19,9 @@
 from hookport.cli import main
 from hookport.config import Names
 from hookport.membership import kept as form
-from hookport.membership.curve import SECOND_NS, Curve
+from hookport.membership.curve import SECOND_NS, TrustCurve
 from hookport.membership.files import File
-from hookport.membership.fleet import Fleet, Gone, Kept
+from hookport.membership.fleet import FleetView, Gone, Snapshot
 from hookport.options import OptionsError, load, parse, schema
 
 NAMES = Names({}, {}, {"": 0}, {"": 0})
@@ -158,9 +158,9 @@
         except form.KeptError:
             continue
         taken += 1
-        fleet = Fleet("f", 0, 1, Curve(), 14 * 86_400 * SECOND_NS)
+        fleet = FleetView("f", 0, 1, TrustCurve(), 14 * 86_400 * SECOND_NS)
         update = fleet.start(NOW, told, ServerList(ListKind.CACHED, ()), {})
-        assert update.listed and len(update.listed.entries) <= 3, n
+        assert update.server_list and len(update.server_list.entries) <= 3, n
         form.read(form.write(fleet.kept(NOW), NAMES), NAMES)
     assert 500 < taken < 9_000, "the mutations reach past the parser, and are not all harmless"
 
@@ -207,7 +207,9 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = File(str(tmp_path / "k"))
-    file.save(form.write(Kept("f", 7, 0, kept(10, entry(1), entry(2, Health.DRAINING)).servers, {}), NAMES))
+    file.save(
+        form.write(Snapshot("f", 7, 0, kept(10, entry(1), entry(2, Health.DRAINING)).servers, {}), NAMES)
+    )
     assert main(["kept", str(tmp_path / "k")]) == 0
     rows = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
     assert rows[0]["generation"] == 7 and rows[1]["server"] == "s-1" and rows[2]["state"] == "draining"
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -21,7 +21,7 @@
 from hookport.config import Names
 from hookport.membership import kept as form
 from hookport.membership import words
-from hookport.membership.fleet import Held, Kept, State
+from hookport.membership.fleet import Snapshot, SnapshotEntry, State
 from hookport.options import Membership, Options
 
 SECOND = 1_000_000_000
@@ -32,13 +32,13 @@
     """Write a kept list of the world's servers."""
     told_ns = time.time_ns() - round(age_s * SECOND)
     held = tuple(
-        Held(
+        SnapshotEntry(
             ServerEntry(b"s-%d" % n, 0, 0, 0, Health.DRAINING if n in drains else Health.READY, 1.0, 0),
             ("127.0.0.1", stub.port), generation, told_ns, told_ns,
         )
         for n, stub in enumerate(world.stubs)
     )  # fmt: skip
-    path.write_bytes(form.write(Kept("f", generation, told_ns, held, {}), NAMES))
+    path.write_bytes(form.write(Snapshot("f", generation, told_ns, held, {}), NAMES))
 
 
 def dark(world: World, path: Path, **more: float) -> World:
@@ -63,7 +63,7 @@
                 assert await client.ask(*query(n)) == b"value"
             assert await client.ask(*submit(20)) == b"value", "they have proved themselves"
             assert not world.stubs[1].commands
-            assert "source=kept" in node.members.line() and "draining=1" in node.members.line()
+            assert "source=kept" in node.members.status_line() and "draining=1" in node.members.status_line()
 
     asyncio.run(scenario())
 
