--- a/aniseshed/drill.py
+++ b/aniseshed/drill.py
@@ -79,14 +79,14 @@
         limiter = self.instances.get(instance)
         if limiter is None:
             return
-        if isinstance(event, api.Counted) and (calls := self.calls.get((instance, event.name))):
-            event = replace(event, call=calls.popleft())
+        if isinstance(event, api.Counted) and (calls := self.calls.get((instance, event.key))):
+            event = replace(event, call_id=calls.popleft())
             if not calls:
-                del self.calls[instance, event.name]
+                del self.calls[instance, event.key]
         try:
             for action in limiter.handle(now_ns, event):
                 if isinstance(action, api.Count):
-                    self.calls.setdefault((instance, action.name), deque()).append(action.call)
+                    self.calls.setdefault((instance, action.key), deque()).append(action.call_id)
                 out.append(wire.WRITERS[type(action)](instance, action))
         except Exception as error:  # never swallowed: the day ends with this text
             where = error.__traceback__
--- a/aniseshed/interface.py
+++ b/aniseshed/interface.py
@@ -14,7 +14,7 @@
     from aniseshed.weather import State
 
 
-class Repeat(Enum):
+class Idempotency(Enum):
     """Whether a request that may have run can be sent again."""
 
     SAFE = "safe"
@@ -22,7 +22,7 @@
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
+class DedupScope(Enum):
     """Which servers drop a repeat of a keyed request."""
 
     ALL = "all"
@@ -58,10 +58,10 @@
     TOLD = 3  # as told by discovery, or as good
 
 
-class Ask(IntEnum):
+class RequestMode(IntEnum):
     """What a request wants: to be sent on, or a verdict on its quota."""
 
-    SEND = 0
+    FORWARD = 0
     TAKE = 1  # the units are taken, nothing is sent
     PEEK = 2  # what a take would come to; nothing is taken
 
@@ -76,22 +76,22 @@
     CONNECT_FAILED = 5
     RESET = 6
     CANCELLED = 7
-    MOOT = 8
+    NOT_SENT = 8
 
 
 @dataclass(slots=True, frozen=True)
 class TrafficClass:
     """One class of requests."""
 
-    aim_ns: int
+    target_ns: int
     deadline_ns: int
-    worth: float
-    late_worth: float
-    repeat: Repeat
-    group: Group
-    window_ns: int
+    value: float
+    late_value: float
+    idempotency: Idempotency
+    dedup_scope: DedupScope
+    dedup_window_ns: int
     stream: bool
-    aim_stretch: (
+    target_stretch: (
         float  # by the request's own work, which nobody knows before its answer: the plain aim decides
     )
 
@@ -102,12 +102,12 @@
 
     rate: float
     burst: float
-    max_open: int
+    max_in_flight: int
     ceiling_rate: float
     ceiling_burst: float
     price: float
-    over_worth: float
-    over_cost: float
+    over_quota_value: float
+    over_quota_cost: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -120,25 +120,25 @@
     classes: tuple[TrafficClass, ...]
     plans: tuple[Plan, ...]
     largest_units: int
-    settles: bool
+    settles_usage: bool
     has_counter: bool
     counter_timeout_ns: int
     max_attempts: int
-    max_held: int
+    max_pending: int
     may_probe: bool
     may_cancel: bool
     may_duplicate: bool
-    may_advise: bool
-    may_tell: bool  # datagrams between limiters
+    may_send_retry_after: bool
+    may_message_peers: bool  # datagrams between limiters
     max_retry_after_ns: int
     connect_timeout_ns: int
     subscribe: bool
-    ask_within_ns: int
+    resubscribe_within_ns: int
     drain_grace_ns: int
-    cold_from: float
-    cold_ns: int
-    fall_multiple: float
-    fall_ns: int
+    cold_capacity_share: float
+    warm_up_ns: int
+    overload_multiple: float
+    overload_ns: int
     report_fields: tuple[str, ...]
 
 
@@ -155,9 +155,9 @@
     cell: int
     health: Health
     weight: float
-    born_ns: int
+    started_ns: int
     trust: Trust = Trust.TOLD
-    presumed_ns: int = 0
+    presumed_start_ns: int = 0
 
 
 @dataclass(slots=True, frozen=True)
@@ -176,12 +176,12 @@
     traffic_class: int
     plan: int
     customer: int
-    patience_ns: int
+    timeout_ns: int
     units: float
     set_size: float
     set_start: float
-    repeated: bool
-    ask: Ask = Ask.SEND
+    is_retry: bool
+    mode: RequestMode = RequestMode.FORWARD
 
 
 @dataclass(slots=True, frozen=True)
@@ -210,7 +210,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class GivenBack:
+class UnitsReturned:
     """Units of a customer that a take was granted and that nobody used."""
 
     customer: int
@@ -256,17 +256,17 @@
     A call that ended as TIMEOUT may end once more, when its answer comes late.  ``call`` is that of the
     Count; ``total`` is in units of the quota, with marks (see marks.py)."""
 
-    name: int
+    key: int
     outcome: Outcome
     total: float
     elapsed_ns: int
-    call: int = 0
+    call_id: int = 0
 
 
 Event = (
     ServerList
     | Request
-    | GivenBack
+    | UnitsReturned
     | StreamBegun
     | AttemptEnded
     | HungUp
@@ -283,7 +283,7 @@
 
     request_id: int
     server: bytes
-    until_ns: int
+    deadline_ns: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -295,15 +295,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Verdict:
+class QuotaAnswer:
     """Final answer to a take that was granted, or to a peek.
 
     ``left`` are the units that the whole quota still holds by this limiter's account, ``wait_ns`` is when to
     come back, 0 if it fits now."""
 
     request_id: int
-    fits: bool
-    left: float
+    allowed: bool
+    remaining_units: float
     wait_ns: int
 
 
@@ -358,26 +358,26 @@
 
     ``call`` numbers the calls of one limiter from 1, in the order in which they are made."""
 
-    name: int
+    key: int
     amount: float
     lifetime_ns: int
-    call: int = 0
+    call_id: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Report:
+class CounterReport:
     """What operators are told of the counter: its state (see ``weather.py``), ``since_ns`` on the module's
     clock, the bound in units beyond one customer's quota since the change, by position of the plan."""
 
     state: State
     since_ns: int
     bound_units: tuple[float, ...]
-    away: tuple[int, ...]  # indexes of the limiters on another side
+    unreachable: tuple[int, ...]  # indexes of the limiters on another side
 
-    def line(self) -> str:
+    def to_log_line(self) -> str:
         """The report as one line."""
         bounds = " ".join(f"{units:.1f}" for units in self.bound_units)
-        away = ",".join(map(str, self.away)) or "none"
+        away = ",".join(map(str, self.unreachable)) or "none"
         return f"counter state={self.state.value} since_ns={self.since_ns} bound_units={bounds} away={away}"
 
 
@@ -403,7 +403,7 @@
 Action = (
     Send
     | Refuse
-    | Verdict
+    | QuotaAnswer
     | Fail
     | Cancel
     | SetTimer
--- a/aniseshed/policy.py
+++ b/aniseshed/policy.py
@@ -14,12 +14,12 @@
 from aniseshed import interface as api
 from aniseshed.account import CALLS_SAVED, Account, Pace, SmoothBursty
 from aniseshed.bound import bounds
-from aniseshed.interface import Ask, Group, Health, ListKind, Outcome, Repeat, Trust
+from aniseshed.interface import DedupScope, Health, Idempotency, ListKind, Outcome, RequestMode, Trust
 from aniseshed.marks import place
 from aniseshed.question import Fate, Question
 from aniseshed.roll import BEAT_NS, EPOCH_NS, GROUP, SECOND_NS, Beat, Roll
 from aniseshed.spent import TOLD_A_SECOND, WORDS_SAVED, Spent
-from aniseshed.state import Attempt, Level, Server, Work, apply_list
+from aniseshed.state import Attempt, PendingRequest, Server, TimeAverage, apply_server_list
 from aniseshed.weather import Weather
 
 LATE_CALLS = 500  # remembered after their time-out: what a silent second leaves, a few hundred bytes each
@@ -48,39 +48,41 @@
 RETRY_DEPOSIT = 10.0  # and this many may be saved up for a sudden failure
 MOST_TAUGHT = 64  # customers told again after a replacement without being asked: the busiest of a window
 WORD = b"here"  # to the other limiters, once a beat
-NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+NEVER_EXECUTED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class Limiter:
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings, self.random = settings, random.Random(seed)
         self.now_ns, self.actions = 0, list[api.Action]()
-        self.token, self.limiters = 0, max(1, settings.limiters)
-        self.customers: dict[int, Account] = {}
+        self.timer_token, self.limiters = 0, max(1, settings.limiters)
+        self.accounts: dict[int, Account] = {}
         self.servers: dict[bytes, Server] = {}
         self.ring, self.ejected = list[Server](), set[Server]()
-        self.work: dict[int, Work] = {}
-        self.flights: dict[tuple[int, int], Attempt] = {}
-        self.timers: dict[int, tuple[Callable[..., object], Work | bool | None]] = {}
-        self.questions: dict[int, Question] = {}  # by number of the call: out, or their answer may come late
-        self.untaught: list[Account] = []  # customers whose counts may have begun again
-        self.beats: dict[int, Beat] = {}  # of the roll, out, by number of the call
-        self.last_call, self.start_ns = 0, -1
+        self.pending: dict[int, PendingRequest] = {}
+        self.in_flight: dict[tuple[int, int], Attempt] = {}
+        self.timers: dict[int, tuple[Callable[..., object], PendingRequest | bool | None]] = {}
+        self.counter_calls: dict[
+            int, Question
+        ] = {}  # by number of the call: out, or their answer may come late
+        self.unsynced: list[Account] = []  # customers whose counts may have begun again
+        self.heartbeats: dict[int, Beat] = {}  # of the roll, out, by number of the call
+        self.last_call_id, self.start_ns = 0, -1
         self.weather = Weather(settings.counter_timeout_ns)
-        self.roll = Roll(settings.index, self.limiters, 0, settings.may_tell)
+        self.roll = Roll(settings.index, self.limiters, 0, settings.may_message_peers)
         self.spent = Spent(SmoothBursty(0, TOLD_A_SECOND / self.limiters, WORDS_SAVED, 1.0))
         self.pace = Pace(self.limiters, settings.counter_timeout_ns)
-        self.usual_ns = [0.0] * len(settings.classes)  # of one unit's answer
-        self.longest_ns = [0] * len(settings.classes)
-        self.young: list[deque[Attempt]] = [deque() for _ in settings.classes]
-        self.limit, self.late, self.cut_ns, self.value = 0.0, 0.0, 0, 0.0
-        self.retry_tokens, self.answers, self.answers_ns = RETRY_DEPOSIT, 0.0, 0
-        self.out = Level(max((kind.aim_ns for kind in settings.classes), default=SECOND_NS))
+        self.unit_latency_ns = [0.0] * len(settings.classes)  # of one unit's answer
+        self.max_timeout_ns = [0] * len(settings.classes)
+        self.recent_attempts: list[deque[Attempt]] = [deque() for _ in settings.classes]
+        self.concurrency_limit, self.late_share, self.decreased_ns, self.mean_value = 0.0, 0.0, 0, 0.0
+        self.retry_tokens, self.recent_answers, self.recent_answers_ns = RETRY_DEPOSIT, 0.0, 0
+        self.concurrency = TimeAverage(max((kind.target_ns for kind in settings.classes), default=SECOND_NS))
         self.handlers: dict[type, Callable[..., None]] = {
-            api.Request: self.on_request, api.AttemptEnded: self.on_ended, api.TimerFired: self.on_timer,
-            api.Counted: self.on_counted, api.HungUp: self.end, api.ServerList: self.on_list,
-            api.StreamBegun: self.end, api.PeerMessage: self.on_word,
-            api.GivenBack: self.on_given_back}  # fmt: skip
+            api.Request: self.on_request, api.AttemptEnded: self.on_attempt_ended,
+            api.TimerFired: self.on_timer, api.Counted: self.on_counted, api.HungUp: self.finish,
+            api.ServerList: self.on_server_list, api.StreamBegun: self.finish,
+            api.PeerMessage: self.on_peer_message, api.UnitsReturned: self.on_units_returned}  # fmt: skip
 
     def handle(self, now_ns: int, event: api.Event) -> list[api.Action]:
         """The actions that answer one event."""
@@ -88,15 +90,17 @@
         if self.start_ns < 0:
             self.start_ns = self.roll.start_ns = self.weather.since_ns = now_ns
             if self.settings.has_counter and self.limiters > 1:
-                self.timer(self.random.random() * BEAT_NS, self.on_beat, True)
+                self.set_timer(self.random.random() * BEAT_NS, self.on_heartbeat, True)
         if handler := self.handlers.get(type(event)):
             handler(event)
         return self.actions
 
-    def timer(self, delay_ns: float, call: Callable[..., object], work: Work | bool | None = None) -> None:
-        self.token = (self.token + 1) & 0xFFFFFFFF
-        self.timers[self.token] = (call, work)
-        self.actions.append(api.SetTimer(max(0, round(delay_ns)), self.token))
+    def set_timer(
+        self, delay_ns: float, call: Callable[..., object], work: PendingRequest | bool | None = None
+    ) -> None:
+        self.timer_token = (self.timer_token + 1) & 0xFFFFFFFF
+        self.timers[self.timer_token] = (call, work)
+        self.actions.append(api.SetTimer(max(0, round(delay_ns)), self.timer_token))
 
     def on_timer(self, event: api.TimerFired) -> None:
         call, work = self.timers.pop(event.token, (None, None))
@@ -104,7 +108,7 @@
             call()
         elif call and work is None:
             self.actions.append(api.Watch(True))
-        elif call and isinstance(work, Work) and self.work.get(work.request.request_id) is work:
+        elif call and isinstance(work, PendingRequest) and self.pending.get(work.request.request_id) is work:
             call(work)
 
     def on_request(self, request: api.Request) -> None:
@@ -114,65 +118,69 @@
         kind, plan = self.settings.classes[index], self.settings.plans[request.plan]
         units = request.units if 0 < request.units < math.inf else 1.0
         # A repeat comes with what is left of the deadline: guards against work for what is late already.
-        cut = request.repeated and request.patience_ns < self.longest_ns[index]
-        passed_ns = max(0, kind.deadline_ns - request.patience_ns) * cut
-        self.longest_ns[index] = max(self.longest_ns[index], request.patience_ns)
-        aim_ns = now_ns + min(kind.aim_ns - passed_ns, request.patience_ns)
-        customer = self.customer_of(request, plan)
-        work = self.work[request.request_id] = Work(request, kind, plan, units, customer, aim_ns)
-        full = plan.max_open and customer.open >= max(1, int(plan.max_open / customer.set_size))
-        value = work.kind.worth * plan.price * units
-        self.value += GAIN * (value - self.value) if self.value else value
-        work.rank = min(1.0, value / self.value)
+        cut = request.is_retry and request.timeout_ns < self.max_timeout_ns[index]
+        passed_ns = max(0, kind.deadline_ns - request.timeout_ns) * cut
+        self.max_timeout_ns[index] = max(self.max_timeout_ns[index], request.timeout_ns)
+        aim_ns = now_ns + min(kind.target_ns - passed_ns, request.timeout_ns)
+        customer = self.account_for(request, plan)
+        work = self.pending[request.request_id] = PendingRequest(request, kind, plan, units, customer, aim_ns)
+        full = plan.max_in_flight and customer.open >= max(1, int(plan.max_in_flight / customer.set_size))
+        value = work.traffic_class.value * plan.price * units
+        self.mean_value += GAIN * (value - self.mean_value) if self.mean_value else value
+        work.value_rank = min(1.0, value / self.mean_value)
         # Guards against work that cannot end in the time its client has. One at a time is sent all the same:
         # nothing else could tell that its class has become faster.
-        refused = full or self.pressed(work) or (aim_ns <= now_ns and not kind.late_worth)
-        refused = refused or bool(self.young[index]) and self.usual_ns[index] * units > request.patience_ns
-        if request.ask is Ask.PEEK:
+        refused = full or self.over_limit(work) or (aim_ns <= now_ns and not kind.late_value)
+        refused = (
+            refused
+            or bool(self.recent_attempts[index])
+            and self.unit_latency_ns[index] * units > request.timeout_ns
+        )
+        if request.mode is RequestMode.PEEK:
             self.peek(work, refused)
         elif refused:
-            self.refuse(work, kind.aim_ns)
+            self.refuse(work, kind.target_ns)
         elif plan.rate <= 0 or plan.burst <= 0:
-            self.send(work)
+            self.send_first_attempt(work)
         else:
             self.admit(work, customer)
 
-    def peek(self, work: Work, refused: bool) -> None:
+    def peek(self, work: PendingRequest, refused: bool) -> None:
         """What a take would come to by this limiter's own account; it asks nobody and takes nothing."""
-        del self.work[work.request.request_id]
-        left = max(0.0, work.customer.refill(self.now_ns)) if work.plan.rate > 0 else math.inf
-        short_ns = max(0.0, work.units - left) / max(work.customer.rate, 1e-9) * SECOND_NS
-        wait_ns = round(max(short_ns, work.kind.aim_ns if refused else 0))
-        self.actions.append(api.Verdict(work.request.request_id, not wait_ns, min(left, 1e15), wait_ns))
-
-    def on_given_back(self, event: api.GivenBack) -> None:
-        if customer := self.customers.get(event.customer):
+        del self.pending[work.request.request_id]
+        left = max(0.0, work.account.refill(self.now_ns)) if work.plan.rate > 0 else math.inf
+        short_ns = max(0.0, work.units - left) / max(work.account.rate, 1e-9) * SECOND_NS
+        wait_ns = round(max(short_ns, work.traffic_class.target_ns if refused else 0))
+        self.actions.append(api.QuotaAnswer(work.request.request_id, not wait_ns, min(left, 1e15), wait_ns))
+
+    def on_units_returned(self, event: api.UnitsReturned) -> None:
+        if customer := self.accounts.get(event.customer):
             customer.give_back(self.now_ns, event.units, False)
 
-    def admit(self, work: Work, customer: Account) -> None:
+    def admit(self, work: PendingRequest, customer: Account) -> None:
         """The ordinary path: the slice, then the counter, then the ticket."""
         customer.bucket.resync(self.now_ns)
         if silent := self.weather.silent(self.now_ns):
             customer.lean(self.now_ns)
         # Guards against slices and grants together passing the quota: of a spent one, a slice is nothing.
         short = customer.total is not None and customer.refill(self.now_ns) < work.units
-        timely = work.request.patience_ns > COUNTER_WAITS * self.settings.counter_timeout_ns
-        call = timely and not short and self.may_call(1 + (CALLS_SAVED - 1) * (1 - work.rank))
+        timely = work.request.timeout_ns > COUNTER_WAITS * self.settings.counter_timeout_ns
+        call = timely and not short and self.may_call_counter(1 + (CALLS_SAVED - 1) * (1 - work.value_rank))
         # Guards against all limiters of a large set taking ahead at once what none of their slices can hold.
         sliver = customer.bucket.max_permits < work.units
         told = sliver and not silent and self.spent.wait_ns(self.now_ns, customer.name)
-        work.asking = True
+        work.awaiting_counter = True
         short = short and not silent  # then the slice alone decides
         if customer.bucket.next_free_ticket_ns <= self.now_ns and not (short or (sliver and call) or told):
             self.charge(work)
-            self.send(work)
+            self.send_first_attempt(work)
         elif call:
-            self.count(customer, work.request.request_id, work.units)
+            self.call_counter(customer, work.request.request_id, work.units)
         else:
-            self.hold(work)
+            self.wait_or_refuse(work)
 
-    def customer_of(self, request: api.Request, plan: api.Plan) -> Account:
-        customer = self.customers.pop(request.customer, None)
+    def account_for(self, request: api.Request, plan: api.Plan) -> Account:
+        customer = self.accounts.pop(request.customer, None)
         if customer is None:
             now_ns, size = self.now_ns, min(max(1.0, request.set_size), self.limiters)
             quota, ceiling = (plan.rate, plan.burst), (plan.ceiling_rate, plan.ceiling_burst)
@@ -181,150 +189,157 @@
             customer = Account.fresh(
                 now_ns, request.customer, size, quota, ceiling, digit, now_ns - self.start_ns, self.weather
             )
-            for old in list(self.customers.values()):  # in order of last use
+            for old in list(self.accounts.values()):  # in order of last use
                 if old.calls or old.open or now_ns - old.seen_ns < IDLE_WINDOWS * old.window_ns:
                     break
-                del self.customers[old.name]
-        self.customers[request.customer] = customer
+                del self.accounts[old.name]
+        self.accounts[request.customer] = customer
         customer.seen_ns = self.now_ns
         part = self.roll.part(round(request.set_start), round(customer.set_size))
         if part != customer.part:
             customer.rescale(self.now_ns, part)
         return customer
 
-    def may_call(self, saved: float) -> bool:
+    def may_call_counter(self, saved: float) -> bool:
         return self.settings.has_counter and self.pace.free(self.now_ns, saved)
 
-    def count(self, customer: Account, request_id: int, units: float) -> None:
+    def call_counter(self, customer: Account, request_id: int, units: float) -> None:
         """Call the counter with these units and all local spends since the last call."""
-        self.last_call = call = self.last_call + 1
-        question = self.questions[call] = customer.ask(self.now_ns, request_id, units, call)
+        self.last_call_id = call = self.last_call_id + 1
+        question = self.counter_calls[call] = customer.ask(self.now_ns, request_id, units, call)
         self.pace.call()
         amount = question.amount + question.mark
         self.actions.append(api.Count(question.name, amount, customer.window_ns, call))
 
-    def charge(self, work: Work) -> None:
+    def charge(self, work: PendingRequest) -> None:
         """Take a request's units from the slice, and tell the counter if that is much of what is left."""
-        customer, work.charged, work.from_slice = work.customer, work.units, True
+        customer, work.charged_units, work.charged_to_slice = work.account, work.units, True
         customer.bucket.reserve(work.units)
         customer.charge(self.now_ns, work.units)
-        if customer.wants_to_tell() and self.may_call(CALLS_SAVED / 2):
-            self.count(customer, -1, 0.0)
+        if customer.wants_to_tell() and self.may_call_counter(CALLS_SAVED / 2):
+            self.call_counter(customer, -1, 0.0)
 
-    def give_back(self, work: Work) -> None:
+    def refund(self, work: PendingRequest) -> None:
         """What was charged for a request of which nothing was sent belongs to its customer again."""
-        units, work.charged = work.charged, 0.0
+        units, work.charged_units = work.charged_units, 0.0
         if units and not work.attempts:
-            work.customer.give_back(self.now_ns, units, work.from_slice)
+            work.account.give_back(self.now_ns, units, work.charged_to_slice)
 
-    def on_beat(self) -> None:
+    def on_heartbeat(self) -> None:
         """Answer the roll, tell the peers that this limiter lives, and look at the state of the counter."""
-        self.timer(BEAT_NS, self.on_beat, True)
+        self.set_timer(BEAT_NS, self.on_heartbeat, True)
         if self.roll.used or self.weather.silent(self.now_ns):  # a silent counter is asked whether it is back
             beat = self.roll.beat(self.now_ns)
-            self.last_call = call = self.last_call + 1
-            self.beats = {call: beat, **{old: b for old, b in self.beats.items() if b is self.roll.out}}
+            self.last_call_id = call = self.last_call_id + 1
+            self.heartbeats = {
+                call: beat,
+                **{old: b for old, b in self.heartbeats.items() if b is self.roll.out},
+            }
             self.actions.append(api.Count(beat.name, beat.amount, 2 * EPOCH_NS, call))
-        if self.settings.may_tell and self.roll.used:
+        if self.settings.may_message_peers and self.roll.used:
             self.actions += [api.Tell(other, WORD) for other in self.roll.listeners()]
         if self.weather.look(self.now_ns, bool(self.roll.split)):
-            self.actions.append(api.Log(self.report().line()))
+            self.actions.append(api.Log(self.report().to_log_line()))
 
-    def begin_to_teach(self) -> None:
+    def start_resync(self) -> None:
         """After silence or a replacement: what the counter does not know of this limiter's customers."""
-        teaching = bool(self.untaught)
-        lately = [c for c in self.customers.values() if c.told_lately(self.now_ns) or c.unreported >= c.least]
-        self.untaught = lately[-MOST_TAUGHT:]
+        teaching = bool(self.unsynced)
+        lately = [c for c in self.accounts.values() if c.told_lately(self.now_ns) or c.unreported >= c.least]
+        self.unsynced = lately[-MOST_TAUGHT:]
         if not teaching:
-            self.teach()
+            self.resync_next()
 
-    def teach(self) -> None:
+    def resync_next(self) -> None:
         """Tell a counter that began again what it has lost, the customers of last use first.
 
         At the pace of calls and at most one a gap: guards against recovery flooding what it is to save."""
-        if not self.untaught:
+        if not self.unsynced:
             return
-        customer = self.untaught.pop()
+        customer = self.unsynced.pop()
         news = customer.heard_ns < self.weather.replaced_ns or customer.unreported >= customer.least
-        if news and not customer.calls and self.may_call(1.0):
-            self.count(customer, -1, 0.0)
-        self.timer(self.pace.gap_ns * self.random.uniform(1, 2), self.teach, True)
+        if news and not customer.calls and self.may_call_counter(1.0):
+            self.call_counter(customer, -1, 0.0)
+        self.set_timer(self.pace.gap_ns * self.random.uniform(1, 2), self.resync_next, True)
 
-    def call_ended(self, heard: bool) -> None:
+    def on_counter_result(self, heard: bool) -> None:
         back = heard and self.weather.silent(self.now_ns)
         self.weather.ended(self.now_ns, heard)
         if back:
             self.pace.back(self.now_ns)
-            self.begin_to_teach()
+            self.start_resync()
 
-    def on_word(self, event: api.PeerMessage) -> None:
+    def on_peer_message(self, event: api.PeerMessage) -> None:
         if event.payload == WORD:
             self.roll.word(self.now_ns, event.sender)
         else:
             self.spent.heard(self.now_ns, event.payload)
 
-    def report(self) -> api.Report:
+    def report(self) -> api.CounterReport:
         """The state of the counter, since when, and the bound on the overrun of each plan's customers."""
         told = bounds(self.settings, self.limiters, self.weather)
-        return api.Report(self.weather.state, self.weather.since_ns, told, tuple(sorted(self.roll.split)))
+        return api.CounterReport(
+            self.weather.state, self.weather.since_ns, told, tuple(sorted(self.roll.split))
+        )
 
-    def tell_spent(self, work: Work) -> None:
+    def announce_exhausted(self, work: PendingRequest) -> None:
         """Tell the others of a large set that the counter refused what their slices cannot hold either."""
         rank = work.plan.rate * work.plan.price / max(p.rate * p.price for p in self.settings.plans)
-        customer = work.customer
+        customer = work.account
         if customer.set_size <= GROUP or customer.bucket.max_permits >= work.units or customer.room >= 1:
             return
         if word := self.spent.refused(self.now_ns, customer.name, rank):
             self.actions.append(api.Tell(None, word))
 
     def on_counted(self, event: api.Counted) -> None:
-        if beat := self.beats.pop(event.call, None):
+        if beat := self.heartbeats.pop(event.call_id, None):
             heard = event.outcome is Outcome.OK and math.isfinite(event.total)
-            self.call_ended(heard)
+            self.on_counter_result(heard)
             if heard and self.roll.heard(self.now_ns, beat, event.total):
                 self.weather.replaced_ns = self.now_ns
-                self.begin_to_teach()
-            elif event.outcome in NEVER_RAN:
+                self.start_resync()
+            elif event.outcome in NEVER_EXECUTED:
                 self.roll.not_added(beat)
             return
-        if (question := self.questions.pop(event.call, None)) is None:
+        if (question := self.counter_calls.pop(event.call_id, None)) is None:
             return
-        customer, work = question.account, self.work.get(question.request_id)
+        customer, work = question.account, self.pending.get(question.request_id)
         heard = event.outcome is Outcome.OK and math.isfinite(event.total)
-        waits = work is not None and work.asking and question.fate is Fate.OUT
+        waits = work is not None and work.awaiting_counter and question.fate is Fate.OUT
         doubted, handed = bool(customer.doubts), customer.handed
         if question.fate is Fate.OUT:
             self.pace.ended(event.outcome is Outcome.OK)
-            self.call_ended(heard)
+            self.on_counter_result(heard)
         if heard and customer.heard(self.now_ns, question, event.total):
             if work and waits:
-                work.charged, work.from_slice, waits = question.units, False, False
-                self.send(work)
+                work.charged_units, work.charged_to_slice, waits = question.units, False, False
+                self.send_first_attempt(work)
             else:
                 customer.give_back(self.now_ns, question.units, False)  # the client has gone meanwhile
-        elif event.outcome in NEVER_RAN:
+        elif event.outcome in NEVER_EXECUTED:
             customer.not_added(question)
         elif not heard and question.fate is Fate.OUT:
             customer.missed(self.now_ns, question)
-            self.questions[event.call] = question  # its answer may come late
-            oldest = next(iter(self.questions))
-            if len(self.questions) > LATE_CALLS and self.questions[oldest].fate is not Fate.OUT:
-                del self.questions[oldest]
-        elif heard and work and question.fate is Fate.ENDED and self.settings.may_tell:
-            self.tell_spent(work)
+            self.counter_calls[event.call_id] = question  # its answer may come late
+            oldest = next(iter(self.counter_calls))
+            if len(self.counter_calls) > LATE_CALLS and self.counter_calls[oldest].fate is not Fate.OUT:
+                del self.counter_calls[oldest]
+        elif heard and work and question.fate is Fate.ENDED and self.settings.may_message_peers:
+            self.announce_exhausted(work)
         # Guards against ending with a debt untold that the others take for handed on.
         doubted = doubted or customer.handed > handed
         again = customer.wants_back() or (doubted and customer.wants_to_tell())
-        if heard and again and self.may_call(1.0):
-            self.count(customer, -1, 0.0)
+        if heard and again and self.may_call_counter(1.0):
+            self.call_counter(customer, -1, 0.0)
         if work and waits:
-            self.hold(work)
+            self.wait_or_refuse(work)
 
-    def hold(self, work: Work) -> None:
+    def wait_or_refuse(self, work: PendingRequest) -> None:
         """Without a grant: wait for the ticket if deadline and aim allow, else refuse at once."""
-        customer, work.asking = work.customer, False
-        if work.plan.over_worth > work.plan.over_cost and not self.pressed(work, CHEAP_LIMIT):
-            return self.send(work)  # beyond the quota it earns more than it costs, and there is room
+        customer, work.awaiting_counter = work.account, False
+        if work.plan.over_quota_value > work.plan.over_quota_cost and not self.over_limit(work, CHEAP_LIMIT):
+            return self.send_first_attempt(
+                work
+            )  # beyond the quota it earns more than it costs, and there is room
         customer.bucket.resync(self.now_ns)
         wait_ns = customer.bucket.next_free_ticket_ns - self.now_ns
         if customer.total is not None and not self.weather.silent(self.now_ns):
@@ -332,85 +347,107 @@
             wait_ns = max(wait_ns, round(short / customer.rate * SECOND_NS))
         if customer.bucket.max_permits < work.units and not self.weather.silent(self.now_ns):
             wait_ns = max(wait_ns, self.spent.wait_ns(self.now_ns, customer.name))
-        if wait_ns > HOLD_AIM * (work.aim_ns - self.now_ns):
+        if wait_ns > HOLD_AIM * (work.target_at_ns - self.now_ns):
             return self.refuse(work, wait_ns)
         self.charge(work)  # told now, so that nobody grants it meanwhile
-        self.timer(wait_ns, self.send, work)
+        self.set_timer(wait_ns, self.send_first_attempt, work)
 
-    def refuse(self, work: Work, wait_ns: int) -> None:
+    def refuse(self, work: PendingRequest, wait_ns: int) -> None:
         """The final answer without success: a refusal only where a repeat is harmless."""
-        request_id, kind = work.request.request_id, work.kind
-        del self.work[request_id]
-        self.give_back(work)
-        harmless = kind.repeat is Repeat.SAFE or (kind.repeat is Repeat.KEYED and kind.group is Group.ALL)
+        request_id, kind = work.request.request_id, work.traffic_class
+        del self.pending[request_id]
+        self.refund(work)
+        harmless = kind.idempotency is Idempotency.SAFE or (
+            kind.idempotency is Idempotency.KEYED and kind.dedup_scope is DedupScope.ALL
+        )
         refusable = harmless or not any(a.may_have_run for a in work.attempts)
-        advice_ns = min(max(0, wait_ns), self.settings.max_retry_after_ns) if self.settings.may_advise else 0
+        advice_ns = (
+            min(max(0, wait_ns), self.settings.max_retry_after_ns)
+            if self.settings.may_send_retry_after
+            else 0
+        )
         self.actions.append(api.Refuse(request_id, advice_ns) if refusable else api.Fail(request_id))
 
-    def on_list(self, event: api.ServerList) -> None:
+    def on_server_list(self, event: api.ServerList) -> None:
         if event.kind is ListKind.FAILED and self.settings.subscribe:  # fires without work: subscribe
-            self.timer(self.settings.ask_within_ns * WATCH_AGAIN * self.random.uniform(1, 2), self.again)
+            self.set_timer(
+                self.settings.resubscribe_within_ns * WATCH_AGAIN * self.random.uniform(1, 2), self.retry
+            )
         if event.kind is ListKind.CACHED and self.settings.subscribe:
             self.actions.append(api.Watch(True))
-        apply_list(self.servers, event)
+        apply_server_list(self.servers, event)
         # Walked by each limiter from its own place: few servers each, equally many limiters at each.
         order = sorted(self.servers, key=zlib.crc32)
         first = self.settings.index * len(order) // self.limiters
         around = (self.servers[key] for key in order[first:] + order[:first])
         self.ring = [server for server in around if server.entry.trust]
-        self.limit = self.limit or FIRST_OUT * len(self.servers) / self.limiters
+        self.concurrency_limit = self.concurrency_limit or FIRST_OUT * len(self.servers) / self.limiters
 
-    def share(self, server: Server) -> float:
+    def capacity_share(self, server: Server) -> float:
         """Slow start: the part of its capacity that a server is sure to have."""
-        age = (self.now_ns - server.born_ns) / max(1, self.settings.cold_ns)
-        if server.born_ns <= 0 or age >= 1:
+        age = (self.now_ns - server.started_ns) / max(1, self.settings.warm_up_ns)
+        if server.started_ns <= 0 or age >= 1:
             return 1.0
-        return self.settings.cold_from + (1 - self.settings.cold_from) * max(0.0, age)
+        return self.settings.cold_capacity_share + (1 - self.settings.cold_capacity_share) * max(0.0, age)
 
-    def pressed(self, work: Work, part: float = 1.0) -> bool:
+    def over_limit(self, work: PendingRequest, part: float = 1.0) -> bool:
         """Guards against congestive collapse, whatever its cause: is the limit spent, for this worth?"""
-        for kind, young in zip(self.settings.classes, self.young, strict=True):
-            while young and young[0].sent_ns + LATE_AIM * kind.aim_ns <= self.now_ns:
-                if (attempt := young.popleft()).out:
-                    self.sample(True, attempt.sent_ns)
-        limit = self.limit * part * (CHEAP_LIMIT + (1 - CHEAP_LIMIT) * work.rank)
-        return self.out.mean(self.now_ns) >= limit or len(self.flights) >= limit + 2 * math.sqrt(limit) + 1
-
-    def sample(self, late: bool, sent_ns: int) -> None:
+        for kind, young in zip(self.settings.classes, self.recent_attempts, strict=True):
+            while young and young[0].sent_ns + LATE_AIM * kind.target_ns <= self.now_ns:
+                if (attempt := young.popleft()).in_flight:
+                    self.adjust_limit(True, attempt.sent_ns)
+        limit = self.concurrency_limit * part * (CHEAP_LIMIT + (1 - CHEAP_LIMIT) * work.value_rank)
+        return (
+            self.concurrency.mean(self.now_ns) >= limit
+            or len(self.in_flight) >= limit + 2 * math.sqrt(limit) + 1
+        )
+
+    def adjust_limit(self, late: bool, sent_ns: int) -> None:
         """Move the limit: up while it is used and answers are in time, down by a part when they are not."""
-        self.late += LATE_GAIN * (late - self.late)
-        out = self.out.mean(self.now_ns)
-        if late and self.late > LATE_SHARE and sent_ns > self.cut_ns:
-            self.limit = max(len(self.servers) / self.limiters, CUT * min(self.limit, out))
-            self.cut_ns, self.late = self.now_ns, LATE_SHARE / 2
-        elif not late and out >= RAISE_AT * self.limit:
-            self.limit += min(RAISE, 1 / self.limit)
-
-    def pick(self, tried: list[Server], request: api.Request) -> Server | None:
+        self.late_share += LATE_GAIN * (late - self.late_share)
+        out = self.concurrency.mean(self.now_ns)
+        if late and self.late_share > LATE_SHARE and sent_ns > self.decreased_ns:
+            self.concurrency_limit = max(
+                len(self.servers) / self.limiters, CUT * min(self.concurrency_limit, out)
+            )
+            self.decreased_ns, self.late_share = self.now_ns, LATE_SHARE / 2
+        elif not late and out >= RAISE_AT * self.concurrency_limit:
+            self.concurrency_limit += min(RAISE, 1 / self.concurrency_limit)
+
+    def pick_server(self, tried: list[Server], request: api.Request) -> Server | None:
         """The least loaded by own outstanding work and recent slowness, over what it can take."""
         best, best_cost, seen = None, math.inf, 0
         spare, spare_cost = None, math.inf
-        safe = self.settings.classes[request.traffic_class].repeat is Repeat.SAFE
-        self.ejected = {server for server in self.ejected if server.eject_until_ns > self.now_ns}
+        safe = self.settings.classes[request.traffic_class].idempotency is Idempotency.SAFE
+        self.ejected = {server for server in self.ejected if server.ejected_until_ns > self.now_ns}
         trust = len(self.ejected) <= EJECT_MOST * len(self.servers)
         for server in self.ring:
-            out = trust and (server.eject_until_ns > self.now_ns or (server.trial and server.out))
+            out = trust and (
+                server.ejected_until_ns > self.now_ns or (server.on_probation and server.in_flight)
+            )
             full = server.full_until_ns.get((request.plan, request.traffic_class), 0) > self.now_ns
             if server.entry.health is not Health.READY or server in tried or out or full:
                 continue
             # Guards against a burst, or a claim, on what may be no server or another one by now.
             trusted = server.entry.trust
-            if trusted is not Trust.TOLD and (server.out or (trusted is Trust.SAFE and not safe)):
+            if trusted is not Trust.TOLD and (server.in_flight or (trusted is Trust.SAFE and not safe)):
                 continue
             # Slow start of who may be cold: each answer makes room for one more, so its own speed sets the
             # pace.
-            if server.entry.presumed_ns and len(server.out) > server.answered:
+            if server.entry.presumed_start_ns and len(server.in_flight) > server.answers:
                 continue
-            share = self.share(server)
+            share = self.capacity_share(server)
             weight = server.entry.weight if server.entry.weight > 0 else 1.0
-            cost = (len(server.out) + 1) * server.slow / (weight * share) * self.random.uniform(0.99, 1.01)
-            if share < 1 and (self.now_ns < server.pace_ns or (server.out and not self.answers)):
-                if not server.out and cost < spare_cost:
+            cost = (
+                (len(server.in_flight) + 1)
+                * server.slowness
+                / (weight * share)
+                * self.random.uniform(0.99, 1.01)
+            )
+            if share < 1 and (
+                self.now_ns < server.next_attempt_ns or (server.in_flight and not self.recent_answers)
+            ):
+                if not server.in_flight and cost < spare_cost:
                     spare, spare_cost = server, cost
                 continue
             if cost < best_cost:
@@ -421,105 +458,133 @@
         # the server's own pace, however little that is.
         return best or spare
 
-    def send(self, work: Work) -> None:
+    def send_first_attempt(self, work: PendingRequest) -> None:
         """The first attempt, within this limiter's part of a ceiling."""
-        ceiling, takes, work.asking = work.customer.ceiling, work.request.ask is Ask.TAKE, False
+        ceiling, takes, work.awaiting_counter = (
+            work.account.ceiling,
+            work.request.mode is RequestMode.TAKE,
+            False,
+        )
         self.retry_tokens = min(RETRY_DEPOSIT, self.retry_tokens + RETRY_RATIO * (not takes))
-        server = None if takes else self.pick([], work.request)
+        server = None if takes else self.pick_server([], work.request)
         ceiling.resync(self.now_ns)
         if ceiling.stored_permits < work.units or (server is None and not takes):
-            return self.refuse(work, work.kind.aim_ns)
+            return self.refuse(work, work.traffic_class.target_ns)
         ceiling.reserve(work.units)
         if server:
-            return self.attempt(work, server)
-        left = max(0.0, work.customer.refill(self.now_ns)) if work.plan.rate > 0 else 1e15
-        del self.work[work.request.request_id]
-        self.actions.append(api.Verdict(work.request.request_id, True, left, 0))
+            return self.start_attempt(work, server)
+        left = max(0.0, work.account.refill(self.now_ns)) if work.plan.rate > 0 else 1e15
+        del self.pending[work.request.request_id]
+        self.actions.append(api.QuotaAnswer(work.request.request_id, True, left, 0))
 
-    def attempt(self, work: Work, server: Server) -> None:
+    def start_attempt(self, work: PendingRequest, server: Server) -> None:
         request_id, index, number = work.request.request_id, work.request.traffic_class, len(work.attempts)
-        share = self.share(server)
-        if share < 1 and self.answers:
+        share = self.capacity_share(server)
+        if share < 1 and self.recent_answers:
             # Guards against pushing a cold server over: paced to its share of what a warm one answered.
-            rate = self.answers * SECOND_NS / self.settings.cold_ns / min(CANDIDATES, len(self.servers))
-            pace_ns = SECOND_NS / max(rate * share * self.settings.fall_multiple * PACE, 0.01)
-            server.pace_ns = max(server.pace_ns, self.now_ns) + round(pace_ns)
-        attempt = Attempt(server, work.customer, index, work.request.plan, work.units, self.now_ns)
-        self.out.step(self.now_ns, 1)
-        self.flights[(request_id, number)] = server.out[(request_id, number)] = attempt
+            rate = (
+                self.recent_answers
+                * SECOND_NS
+                / self.settings.warm_up_ns
+                / min(CANDIDATES, len(self.servers))
+            )
+            pace_ns = SECOND_NS / max(rate * share * self.settings.overload_multiple * PACE, 0.01)
+            server.next_attempt_ns = max(server.next_attempt_ns, self.now_ns) + round(pace_ns)
+        attempt = Attempt(server, work.account, index, work.request.plan, work.units, self.now_ns)
+        self.concurrency.add(self.now_ns, 1)
+        self.in_flight[(request_id, number)] = server.in_flight[(request_id, number)] = attempt
         work.attempts.append(attempt)
-        self.young[index].append(attempt)
-        work.customer.open += 1
+        self.recent_attempts[index].append(attempt)
+        work.account.open += 1
         # Guards against a request waiting for its life at an address where nobody may be: it has time for
         # another.
-        doubted = server.entry.trust is not Trust.TOLD and work.kind.repeat is Repeat.SAFE
-        until_ns = self.now_ns + round(TRY_AIM * work.kind.aim_ns) if doubted else 0
+        doubted = server.entry.trust is not Trust.TOLD and work.traffic_class.idempotency is Idempotency.SAFE
+        until_ns = self.now_ns + round(TRY_AIM * work.traffic_class.target_ns) if doubted else 0
         self.actions.append(api.Send(request_id, server.entry.server, until_ns))
 
-    def again(self, work: Work) -> bool:
+    def retry(self, work: PendingRequest) -> bool:
         """One more attempt, where class, budget and time allow; while busy, none: it displaces another."""
-        kind, ran = work.kind, [a for a in work.attempts if a.may_have_run]
-        dropped_ns = kind.window_ns if kind.repeat is Repeat.KEYED and kind.group is Group.ALL else 0
-        twice = kind.repeat is not Repeat.SAFE and any(self.now_ns >= a.sent_ns + dropped_ns for a in ran)
-        late = self.now_ns >= work.aim_ns and not kind.late_worth
+        kind, ran = work.traffic_class, [a for a in work.attempts if a.may_have_run]
+        dropped_ns = (
+            kind.dedup_window_ns
+            if kind.idempotency is Idempotency.KEYED and kind.dedup_scope is DedupScope.ALL
+            else 0
+        )
+        twice = kind.idempotency is not Idempotency.SAFE and any(
+            self.now_ns >= a.sent_ns + dropped_ns for a in ran
+        )
+        late = self.now_ns >= work.target_at_ns and not kind.late_value
         spent = len(work.attempts) >= self.settings.max_attempts or self.retry_tokens < 1
-        server = self.pick([a.server for a in work.attempts], work.request)
-        if late or spent or twice or server is None or self.out.mean(self.now_ns) >= CHEAP_LIMIT * self.limit:
+        server = self.pick_server([a.server for a in work.attempts], work.request)
+        if (
+            late
+            or spent
+            or twice
+            or server is None
+            or self.concurrency.mean(self.now_ns) >= CHEAP_LIMIT * self.concurrency_limit
+        ):
             return False
         self.retry_tokens -= 1
-        self.attempt(work, server)
+        self.start_attempt(work, server)
         return True
 
-    def end(self, event: api.HungUp | api.StreamBegun | api.AttemptEnded) -> None:
+    def finish(self, event: api.HungUp | api.StreamBegun | api.AttemptEnded) -> None:
         """The request is over: forget it and wait for none of its other attempts."""
-        work = self.work.pop(event.request_id, None)
+        work = self.pending.pop(event.request_id, None)
         if work:
-            self.give_back(work)
+            self.refund(work)
         own = None if isinstance(event, api.HungUp) else event.attempt
         for number, attempt in enumerate(work.attempts if work else ()):
-            if attempt.out and number != own and self.settings.may_cancel:
+            if attempt.in_flight and number != own and self.settings.may_cancel:
                 self.actions.append(api.Cancel(event.request_id, number))
 
-    def on_ended(self, event: api.AttemptEnded) -> None:
-        if (attempt := self.flights.pop((event.request_id, event.attempt), None)) is None:
+    def on_attempt_ended(self, event: api.AttemptEnded) -> None:
+        if (attempt := self.in_flight.pop((event.request_id, event.attempt), None)) is None:
             return
-        self.out.step(self.now_ns, -1)
-        attempt.out, attempt.may_have_run = False, event.outcome not in NEVER_RAN
-        attempt.server.out.pop((event.request_id, event.attempt), None)
-        in_time = event.elapsed_ns <= LATE_AIM * self.settings.classes[attempt.index].aim_ns
+        self.concurrency.add(self.now_ns, -1)
+        attempt.in_flight, attempt.may_have_run = False, event.outcome not in NEVER_EXECUTED
+        attempt.server.in_flight.pop((event.request_id, event.attempt), None)
+        in_time = event.elapsed_ns <= LATE_AIM * self.settings.classes[attempt.class_index].target_ns
         # Full says nothing of others: servers may turn one plan or class away though they have room.
         if event.outcome is Outcome.OK and in_time:
-            self.sample(False, attempt.sent_ns)
-        self.observe(attempt, event)
-        attempt.customer.open -= 1
+            self.adjust_limit(False, attempt.sent_ns)
+        self.record_outcome(attempt, event)
+        attempt.account.open -= 1
         if event.outcome is Outcome.OK and event.settled_units:  # bucket and count get the difference
             more = event.settled_units - attempt.units
-            attempt.customer.bucket.resync(self.now_ns)
-            attempt.customer.bucket.reserve(more)
-            attempt.customer.charge(self.now_ns, more)
-        work = self.work.get(event.request_id)
+            attempt.account.bucket.resync(self.now_ns)
+            attempt.account.bucket.reserve(more)
+            attempt.account.charge(self.now_ns, more)
+        work = self.pending.get(event.request_id)
         if event.concluded or event.outcome is Outcome.OK:
-            self.end(event)
-        elif work is not None and not any(a.out for a in work.attempts) and not self.again(work):
+            self.finish(event)
+        elif work is not None and not any(a.in_flight for a in work.attempts) and not self.retry(work):
             self.refuse(work, 0)
 
-    def observe(self, attempt: Attempt, event: api.AttemptEnded) -> None:
+    def record_outcome(self, attempt: Attempt, event: api.AttemptEnded) -> None:
         """Learn from how an attempt ended; a failure is no fast answer, a slow one counts bounded."""
-        server, usual = attempt.server, self.usual_ns[attempt.index]
+        server, usual = attempt.server, self.unit_latency_ns[attempt.class_index]
         if event.outcome is Outcome.OK:
             took_ns = event.elapsed_ns / attempt.units
-            self.usual_ns[attempt.index] = usual + GAIN * (took_ns - usual) if usual else took_ns
-            ratio = min(took_ns / max(1.0, self.usual_ns[attempt.index]), OVERDUE)
-            server.slow += GAIN * (ratio - server.slow)
-            passed = (self.now_ns - self.answers_ns) / max(1, self.settings.cold_ns)
-            self.answers, self.answers_ns = self.answers * math.exp(-passed) + 1, self.now_ns
-            server.fails, server.trial, server.answered = 0, False, server.answered + 1
+            self.unit_latency_ns[attempt.class_index] = usual + GAIN * (took_ns - usual) if usual else took_ns
+            ratio = min(took_ns / max(1.0, self.unit_latency_ns[attempt.class_index]), OVERDUE)
+            server.slowness += GAIN * (ratio - server.slowness)
+            passed = (self.now_ns - self.recent_answers_ns) / max(1, self.settings.warm_up_ns)
+            self.recent_answers, self.recent_answers_ns = (
+                self.recent_answers * math.exp(-passed) + 1,
+                self.now_ns,
+            )
+            server.consecutive_failures, server.on_probation, server.answers = 0, False, server.answers + 1
         elif event.outcome in (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.ERROR):
-            server.fails += 1
-            if server.fails >= EJECT_FAILS:
-                server.eject_until_ns = self.now_ns + round(EJECT_TIMEOUTS * self.settings.connect_timeout_ns)
-                server.trial = True
+            server.consecutive_failures += 1
+            if server.consecutive_failures >= EJECT_FAILS:
+                server.ejected_until_ns = self.now_ns + round(
+                    EJECT_TIMEOUTS * self.settings.connect_timeout_ns
+                )
+                server.on_probation = True
                 self.ejected.add(server)
         elif event.outcome is Outcome.FULL:
-            aim_ns = self.settings.classes[attempt.index].aim_ns
-            server.full_until_ns[attempt.plan, attempt.index] = self.now_ns + round(FULL_AIM * aim_ns)
+            aim_ns = self.settings.classes[attempt.class_index].target_ns
+            server.full_until_ns[attempt.plan_index, attempt.class_index] = self.now_ns + round(
+                FULL_AIM * aim_ns
+            )
--- a/aniseshed/wire.py
+++ b/aniseshed/wire.py
@@ -43,8 +43,12 @@
 MOST_U64 = (1 << 64) - 1
 MARKED_REPEAT = 2
 
-REPEATS = {"pure": api.Repeat.SAFE, "token": api.Repeat.KEYED, "side_effect": api.Repeat.UNSAFE}
-GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
+REPEATS = {
+    "pure": api.Idempotency.SAFE,
+    "token": api.Idempotency.KEYED,
+    "side_effect": api.Idempotency.UNSAFE,
+}
+GROUPS = {"all": api.DedupScope.ALL, "zone": api.DedupScope.ZONE, "cell": api.DedupScope.CELL}
 HEALTHS = {int(h): h for h in api.Health}
 OUTCOMES = {int(o): o for o in api.Outcome}
 LIST_KINDS = {int(k): k for k in api.ListKind}
@@ -66,40 +70,40 @@
         classes=tuple(read_class(lane) for lane in told.get("lanes", ())),
         plans=tuple(read_plan(tier) for tier in told.get("tiersOfService", ())),
         largest_units=info.get("largest", 1),
-        settles=bool(info.get("settles", False)),
+        settles_usage=bool(info.get("settles", False)),
         has_counter=bool(info.get("hasCounter", False)),
         counter_timeout_ns=info.get("countLimit", 0),
         max_attempts=bounds.get("mostTries", 1),
-        max_held=bounds.get("openCap", 0),
+        max_pending=bounds.get("openCap", 0),
         may_probe=bool(bounds.get("probes", False)),
         may_cancel=bool(bounds.get("mayCancel", False)),
         may_duplicate=bool(bounds.get("mayDuplicate", False)),
-        may_tell=bool(bounds.get("peerMessages", False)),
-        may_advise=bool(bounds.get("retryAfter", False)),
+        may_message_peers=bool(bounds.get("peerMessages", False)),
+        may_send_retry_after=bool(bounds.get("retryAfter", False)),
         max_retry_after_ns=bounds.get("maxRetryAfter", 0),
         connect_timeout_ns=bounds.get("connectTimeout", 0),
         subscribe=told.get("discovery") == "subscribe",
-        ask_within_ns=rules.get("mustAskIn", 0),
+        resubscribe_within_ns=rules.get("mustAskIn", 0),
         drain_grace_ns=rules.get("stopSendingWithin", 0),
-        cold_from=rules.get("coldFrom", 1.0),
-        cold_ns=rules.get("cold", 0),
-        fall_multiple=rules.get("fallMultiple", 1.0),
-        fall_ns=rules.get("overloadFor", 0),
+        cold_capacity_share=rules.get("coldFrom", 1.0),
+        warm_up_ns=rules.get("cold", 0),
+        overload_multiple=rules.get("fallMultiple", 1.0),
+        overload_ns=rules.get("overloadFor", 0),
         report_fields=tuple(feedback.get("names", ())),
     )
 
 
 def read_class(lane: dict[str, Any]) -> api.TrafficClass:
     return api.TrafficClass(
-        aim_ns=lane["target"],
+        target_ns=lane["target"],
         deadline_ns=lane["giveUp"],
-        worth=lane.get("value", 1.0),
-        late_worth=lane.get("lateWorth", 0.0),
-        repeat=REPEATS.get(lane.get("idempotency", ""), api.Repeat.UNSAFE),
-        group=GROUPS.get(lane.get("group", ""), api.Group.CELL),
-        window_ns=lane.get("dedupWindow", 0),
+        value=lane.get("value", 1.0),
+        late_value=lane.get("lateWorth", 0.0),
+        idempotency=REPEATS.get(lane.get("idempotency", ""), api.Idempotency.UNSAFE),
+        dedup_scope=GROUPS.get(lane.get("group", ""), api.DedupScope.CELL),
+        dedup_window_ns=lane.get("dedupWindow", 0),
         stream=bool(lane.get("stream", False)),
-        aim_stretch=lane.get("aimStretch", 0.0),
+        target_stretch=lane.get("aimStretch", 0.0),
     )
 
 
@@ -107,12 +111,12 @@
     return api.Plan(
         rate=tier.get("perSecond", 0.0),
         burst=tier.get("storeSize", 0.0),
-        max_open=tier.get("maxOut", 0),
+        max_in_flight=tier.get("maxOut", 0),
         ceiling_rate=tier.get("hardRate", 0.0),
         ceiling_burst=tier.get("ceilingBurst", 0.0),
         price=tier.get("valueFactor", 1.0),
-        over_worth=tier.get("overWorth", 0.0),
-        over_cost=tier.get("excessCost", 0.0),
+        over_quota_value=tier.get("overWorth", 0.0),
+        over_quota_cost=tier.get("excessCost", 0.0),
     )
 
 
@@ -196,7 +200,7 @@
 
 
 WRITERS: dict[type, Callable[[int, Any], bytes]] = {
-    api.Send: lambda i, a: ROUTE.pack(1, 20, i, a.request_id, a.server, a.until_ns),
+    api.Send: lambda i, a: ROUTE.pack(1, 20, i, a.request_id, a.server, a.deadline_ns),
     api.Refuse: lambda i, a: DENY.pack(2, 14, i, a.request_id, min(a.retry_after_ns, MOST_U64)),
     api.Fail: lambda i, a: GIVE_UP.pack(3, 6, i, a.request_id),
     api.Cancel: lambda i, a: CALL_OFF.pack(4, 7, i, a.request_id, a.attempt),
@@ -207,5 +211,5 @@
     api.Log: lambda i, a: _text(9, i, a.text),
     api.Watch: lambda i, a: LISTEN.pack(11, 3, i, a.active),
     api.Fetch: lambda i, a: LOOKUP.pack(12, 2, i),
-    api.Count: lambda i, a: ENTER.pack(13, 22, i, a.name, a.amount, a.lifetime_ns),
+    api.Count: lambda i, a: ENTER.pack(13, 22, i, a.key, a.amount, a.lifetime_ns),
 }
--- a/hookport/config.py
+++ b/hookport/config.py
@@ -109,7 +109,7 @@
 
 def peer_addresses(told: dict[str, Any], settings: api.Settings) -> dict[str, Any]:
     """Where limiters send one another datagrams; nothing unless the settings allow it."""
-    if not settings.may_tell or not told.get("peer_listen"):
+    if not settings.may_message_peers or not told.get("peer_listen"):
         return {}
     peers = tuple(address(peer, f"peers[{n}]") for n, peer in enumerate(told.get("peers", ())))
     for n, peer in enumerate(peers):
--- a/hookport/discovery.py
+++ b/hookport/discovery.py
@@ -45,7 +45,7 @@
         cell=int(told.get("cell", 0)),
         health=HEALTHS[told["lifecycle"]],
         weight=weight if 0 < weight < math.inf else 1.0,
-        born_ns=int(told.get("startedAtMs", 0)) * 1_000_000,
+        started_ns=int(told.get("startedAtMs", 0)) * 1_000_000,
     )
     return entry, address(told.get("hostPort"), "hostPort")
 
@@ -64,7 +64,7 @@
             continue
         if entry.health is Health.READY and (other := serving.get(at)) and other.server != entry.server:
             # One process cannot be two servers: who started last is there now.
-            older, newer = sorted((other, entry), key=lambda one: one.born_ns)
+            older, newer = sorted((other, entry), key=lambda one: one.started_ns)
             both = f"{older.server.decode()} and {newer.server.decode()}"
             wrong(f"{both} are both at {at[0]}:{at[1]}: the one that started last is used")
             rows.pop(older.server, None)
--- a/hookport/emulator/dawn.py
+++ b/hookport/emulator/dawn.py
@@ -97,7 +97,7 @@
         held.append(Held(entry, place, 40, listed_ns, listed_ns))
         if behaviour is Behaviour.SERVES:
             born_ms = born_ns // MS * MS
-            now = replace(entry, server=id if same else id + b"-new", health=Health.READY, born_ns=born_ms)
+            now = replace(entry, server=id if same else id + b"-new", health=Health.READY, started_ns=born_ms)
             truth.append((now, place))
         elif n not in draining:  # its successor came up elsewhere: only discovery knows
             place = (f"10.0.1.{n % 250}", 6379 + n // 250)
@@ -149,7 +149,9 @@
                 return
             first_ns.append(clock.now_ns)
             for span in good:
-                good[span] += began_ns < START_NS + span * SECOND and clock.now_ns - began_ns <= kind.aim_ns
+                good[span] += (
+                    began_ns < START_NS + span * SECOND and clock.now_ns - began_ns <= kind.target_ns
+                )
 
         for span in asked:
             asked[span] += began_ns < START_NS + span * SECOND
--- a/hookport/emulator/seat.py
+++ b/hookport/emulator/seat.py
@@ -78,10 +78,10 @@
         """A client's try, which gets one answer; its id is set here."""
         self.next_id += 1
         kind = self.settings.classes[request.traffic_class]
-        safe = kind.repeat is api.Repeat.SAFE
-        ends_ns = self.clock.now_ns + request.patience_ns
+        safe = kind.idempotency is api.Idempotency.SAFE
+        ends_ns = self.clock.now_ns + request.timeout_ns
         self.open[self.next_id] = Asked(work_s, safe, ends_ns, answered)
-        self.clock.after(request.patience_ns, self.overdue, self.next_id)
+        self.clock.after(request.timeout_ns, self.overdue, self.next_id)
         self.feed(replace(request, request_id=self.next_id))
 
     def feed(self, event: api.Event) -> None:
@@ -121,8 +121,8 @@
         server = self.addresses[self.places[action.server]]
         job = server.arrive(self.settings.index, asked.safe, asked.work_s, lambda o: self.ended(key, o))
         self.jobs[key] = job, action.server, self.clock.now_ns
-        if action.until_ns:
-            self.clock.after(action.until_ns - self.clock.now_ns, self.give_up, key, api.Outcome.TIMEOUT)
+        if action.deadline_ns:
+            self.clock.after(action.deadline_ns - self.clock.now_ns, self.give_up, key, api.Outcome.TIMEOUT)
 
     def ended(self, key: tuple[int, int], outcome: api.Outcome) -> None:
         if key not in self.jobs:
@@ -155,16 +155,20 @@
 def settings(index: int, limiters: int, cold_s: float, cold_from: float) -> api.Settings:
     """A deployment of two classes, searches and claims, in which quotas do not bind."""
     search = api.TrafficClass(
-        aim_ns=750 * MS, deadline_ns=3 * SECOND, worth=2.0, late_worth=0.0, repeat=api.Repeat.SAFE,
-        group=api.Group.ALL, window_ns=0, stream=False, aim_stretch=0.0,
+        target_ns=750 * MS, deadline_ns=3 * SECOND, value=2.0, late_value=0.0,
+        idempotency=api.Idempotency.SAFE, dedup_scope=api.DedupScope.ALL, dedup_window_ns=0, stream=False,
+        target_stretch=0.0,
     )  # fmt: skip
-    claim = replace(search, aim_ns=1500 * MS, deadline_ns=4 * SECOND, worth=5.0, repeat=api.Repeat.UNSAFE)
+    claim = replace(
+        search, target_ns=1500 * MS, deadline_ns=4 * SECOND, value=5.0, idempotency=api.Idempotency.UNSAFE
+    )
     plan = api.Plan(1e6, 1e6, 0, 0.0, 0.0, 1.0, 0.0, 1.0)
     return api.Settings(
         index=index, limiters=limiters, zone=0, classes=(search, claim), plans=(plan,), largest_units=4,
-        settles=False, has_counter=False, counter_timeout_ns=30 * MS, max_attempts=4, max_held=20_000,
-        may_probe=False, may_cancel=True, may_duplicate=False, may_advise=True, may_tell=False,
-        max_retry_after_ns=SECOND, connect_timeout_ns=250 * MS, subscribe=False, ask_within_ns=10 * SECOND,
-        drain_grace_ns=250 * MS, cold_from=cold_from, cold_ns=round(cold_s * SECOND), fall_multiple=3.0,
-        fall_ns=1500 * MS, report_fields=(),
+        settles_usage=False, has_counter=False, counter_timeout_ns=30 * MS, max_attempts=4,
+        max_pending=20_000,
+        may_probe=False, may_cancel=True, may_duplicate=False, may_send_retry_after=True,
+        may_message_peers=False, max_retry_after_ns=SECOND, connect_timeout_ns=250 * MS, subscribe=False,
+        resubscribe_within_ns=10 * SECOND, drain_grace_ns=250 * MS, cold_capacity_share=cold_from,
+        warm_up_ns=round(cold_s * SECOND), overload_multiple=3.0, overload_ns=1500 * MS, report_fields=(),
     )  # fmt: skip
--- a/hookport/limits/front.py
+++ b/hookport/limits/front.py
@@ -131,7 +131,7 @@
         patience_ns = min(command.wait_ms * MS or deadline_ns, deadline_ns)
         request_id = self.door.new_id()
         self.pending[request_id] = pending
-        ask = api.Ask.TAKE if verb == TAKE else api.Ask.PEEK
+        ask = api.RequestMode.TAKE if verb == TAKE else api.RequestMode.PEEK
         self.door.feed(command.request(request_id, patience_ns, ask))
         if request_id in self.pending:
             # Guards against a question that nobody ever answers.
@@ -160,18 +160,21 @@
         connection.taken += 1
         taken = self.ledger.give_back(now_ns, key)
         if taken:
-            self.door.feed(api.GivenBack(taken.customer, taken.units))
+            self.door.feed(api.UnitsReturned(taken.customer, taken.units))
         connection.push(b":1\r\n" if taken else b":0\r\n")
 
     # From the module
 
-    def verdict(self, action: api.Verdict) -> None:
+    def verdict(self, action: api.QuotaAnswer) -> None:
         """What the module said to a question."""
         if pending := self.forget(action.request_id):
             wait_ms = -(-action.wait_ns // MS)
-            if pending.taken and action.fits:
+            if pending.taken and action.allowed:
                 pending.taken.units = pending.units
-            self.answer(pending, b"*3\r\n:%d\r\n:%d\r\n:%d\r\n" % (action.fits, int(action.left), wait_ms))
+            self.answer(
+                pending,
+                b"*3\r\n:%d\r\n:%d\r\n:%d\r\n" % (action.allowed, int(action.remaining_units), wait_ms),
+            )
 
     def refused(self, request_id: int, wait_ns: int) -> bool:
         """A refusal of the module; False if the request is none of these."""
--- a/hookport/membership/fleet.py
+++ b/hookport/membership/fleet.py
@@ -247,9 +247,9 @@
         against = [self.gone[entry.server]] if entry.server in self.gone else []
         belief = self.beliefs.get(entry.server)
         if belief and belief.entry.health is not Health.READY:
-            against.append(Gone(belief.told_ns, belief.generation, belief.entry.born_ns))
+            against.append(Gone(belief.told_ns, belief.generation, belief.entry.started_ns))
         for gone in against:
-            another_life = entry.born_ns > max(gone.born_ns, gone.told_ns)
+            another_life = entry.started_ns > max(gone.born_ns, gone.told_ns)
             younger = generation > gone.generation or told_ns - gone.told_ns >= HOLD_NS
             if not another_life and not (younger if generation >= 0 else told_ns > gone.told_ns):
                 return False
@@ -308,7 +308,7 @@
         if entry.health is Health.GONE:
             return self.bury(now_ns, server, generation)
         belief = self.beliefs.get(server)
-        if belief is None or belief.place != place or belief.entry.born_ns != entry.born_ns:
+        if belief is None or belief.place != place or belief.entry.started_ns != entry.started_ns:
             heard_ns = belief.heard_ns if belief and belief.place == place else 0
             belief = Belief(entry, place, Source.DISCOVERY, generation, now_ns, heard_ns)
             self.beliefs[server] = belief
@@ -328,7 +328,7 @@
         """Discovery says, or its whole list shows, that a server is gone."""
         if belief := self.beliefs.pop(server, None):
             # Guards against a list that is older than the word on a drain wiping out that word's generation.
-            self.gone[server] = Gone(now_ns, max(generation, belief.generation), belief.entry.born_ns)
+            self.gone[server] = Gone(now_ns, max(generation, belief.generation), belief.entry.started_ns)
             self.news.add(server)
         else:
             old = self.gone.get(server, Gone(0, 0, 0))
@@ -471,7 +471,7 @@
         """The entry as the module gets it."""
         health = Health.DRAINING if belief.warned else belief.entry.health
         presumed_ns = 0 if self.live and belief.source is Source.DISCOVERY else belief.presumed_ns
-        return replace(belief.entry, health=health, trust=belief.trust, presumed_ns=presumed_ns)
+        return replace(belief.entry, health=health, trust=belief.trust, presumed_start_ns=presumed_ns)
 
     def changed(self, now_ns: int, lines: list[str]) -> Update:
         """Judge all anew, and hand on what differs from what the module has."""
--- a/hookport/membership/kept.py
+++ b/hookport/membership/kept.py
@@ -58,7 +58,7 @@
         "cell": entry.cell,
         "lifecycle": STATES[entry.health],
         "weight": entry.weight,
-        "startedAtMs": entry.born_ns // 1_000_000,
+        "startedAtMs": entry.started_ns // 1_000_000,
         "generation": held.generation,
         "toldNs": held.told_ns,
         "heardNs": held.heard_ns,
--- a/hookport/node.py
+++ b/hookport/node.py
@@ -103,7 +103,7 @@
         self.doers: dict[type, Callable[[Any], None]] = {
             api.Send: self.send,
             api.Refuse: self.refuse,
-            api.Verdict: self.verdict,
+            api.QuotaAnswer: self.verdict,
             api.Fail: self.fail,
             api.Cancel: self.cancel,
             api.SetTimer: self.set_timer,
@@ -158,7 +158,7 @@
 
     def report(self) -> None:
         """SIGUSR1: the state of the counter, since when, and the bound on the overrun, in the log."""
-        log.info("%s", self.limiter.report().line())
+        log.info("%s", self.limiter.report().to_log_line())
         if self.members:
             log.info("%s", self.members.line())
 
@@ -221,7 +221,7 @@
         self.once(command.request_id)
         fields = command.fields
         full = self.held_bytes > BODY_PART * self.config.memory_bytes
-        if full or len(self.open) >= (self.settings.max_held or 20_000):
+        if full or len(self.open) >= (self.settings.max_pending or 20_000):
             return answer.give(resp.busy(self.settings.max_retry_after_ns))
         deadline_ns = self.settings.classes[fields.index].deadline_ns
         patience_ns = min(max(1, command.wait_ms - MARGIN_MS) * MS, deadline_ns)
@@ -282,7 +282,7 @@
         request = self.open[action.request_id]
         number, request.attempts = request.attempts, request.attempts + 1
         now_ns = self.now_ns()
-        until_ns = min(action.until_ns or request.ends_ns, request.ends_ns)
+        until_ns = min(action.deadline_ns or request.ends_ns, request.ends_ns)
         payload = request.command.forward(max(1, (until_ns - now_ns) // MS))
         attempt = Attempt(action.request_id, number, action.server, payload, now_ns)
         self.attempts[action.request_id, number] = attempt
@@ -323,7 +323,7 @@
             return
         self.answer(action.request_id, resp.busy(action.retry_after_ns))
 
-    def verdict(self, action: api.Verdict) -> None:
+    def verdict(self, action: api.QuotaAnswer) -> None:
         if self.front:
             self.front.verdict(action)
 
@@ -337,8 +337,8 @@
 
     def count(self, action: api.Count) -> None:
         if self.counter is None:
-            return self.feed(api.Counted(action.name, api.Outcome.CONNECT_FAILED, 0.0, 0, action.call))
-        self.counter.call(action.name, action.amount, action.lifetime_ns, action.call)
+            return self.feed(api.Counted(action.key, api.Outcome.CONNECT_FAILED, 0.0, 0, action.call_id))
+        self.counter.call(action.key, action.amount, action.lifetime_ns, action.call_id)
 
     def counted(self, call: Call, outcome: api.Outcome, total: float) -> None:
         elapsed_ns = int((self.loop.time() - call.sent_s) * SECOND)
@@ -365,7 +365,7 @@
                 self.servers.forget(server)
         for entry in told.entries:
             if entry.health is not api.Health.GONE:
-                self.servers.learn(entry.server, places[entry.server], entry.born_ns)
+                self.servers.learn(entry.server, places[entry.server], entry.started_ns)
         self.feed(told)
         for entry in told.entries:
             if entry.health is api.Health.GONE:
--- a/hookport/rehearsal/mutants.py
+++ b/hookport/rehearsal/mutants.py
@@ -45,7 +45,7 @@
 
 def sends_again() -> None:
     """A claim whose attempt failed or timed out is taken for never run and sent again."""
-    setattr(policy, "NEVER_RAN", tuple(api.Outcome))  # noqa: B010 - the type says three of them
+    setattr(policy, "NEVER_EXECUTED", tuple(api.Outcome))  # noqa: B010 - the type says three of them
 
 
 def refuses_what_may_have_run() -> None:
@@ -96,13 +96,13 @@
 
 def ignores_drains() -> None:
     def make(old: Any) -> Any:
-        def apply_list(known: Any, event: api.ServerList) -> None:
+        def apply_server_list(known: Any, event: api.ServerList) -> None:
             rows = tuple(e for e in event.entries if e.health is api.Health.READY)
             old(known, api.ServerList(event.kind, rows))
 
-        return apply_list
+        return apply_server_list
 
-    patch(policy, "apply_list", make)
+    patch(policy, "apply_server_list", make)
     patch(servers.Servers, "leave", lambda old: lambda self, server: None)
     patch(servers.Servers, "forget", lambda old: lambda self, server: None)
 
@@ -160,32 +160,32 @@
     """Sends all to the server that started last."""
 
     def make(old: Any) -> Any:
-        def pick(self: Any, tried: Any, request: Any) -> Any:
+        def pick_server(self: Any, tried: Any, request: Any) -> Any:
             ready = [s for s in self.ring if s.entry.health is api.Health.READY]
-            young = max(ready, key=lambda s: s.born_ns, default=None)
-            return young if young and young.born_ns and young not in tried else old(self, tried, request)
+            young = max(ready, key=lambda s: s.started_ns, default=None)
+            return young if young and young.started_ns and young not in tried else old(self, tried, request)
 
-        return pick
+        return pick_server
 
-    patch(policy.Limiter, "pick", make)
-    patch(policy.Limiter, "pressed", lambda old: lambda self, work, part=1.0: False)
+    patch(policy.Limiter, "pick_server", make)
+    patch(policy.Limiter, "over_limit", lambda old: lambda self, work, part=1.0: False)
 
 
 def grants_each_slice_whole() -> None:
     """Every limiter takes the whole quota for its own slice and asks no counter."""
 
     def make(old: Any) -> Any:
-        def customer_of(self: Any, request: api.Request, plan: api.Plan) -> Any:
+        def account_for(self: Any, request: api.Request, plan: api.Plan) -> Any:
             customer = old(self, request, plan)
             customer.bucket.stable_interval_ns = SECOND_NS / plan.rate
             customer.bucket.max_permits = plan.burst
             customer.total = None
             return customer
 
-        return customer_of
+        return account_for
 
-    patch(policy.Limiter, "customer_of", make)
-    patch(policy.Limiter, "may_call", lambda old: lambda self, saved: False)
+    patch(policy.Limiter, "account_for", make)
+    patch(policy.Limiter, "may_call_counter", lambda old: lambda self, saved: False)
 
 
 def lets_all_in() -> None:
@@ -193,21 +193,21 @@
 
     def make(old: Any) -> Any:
         def admit(self: Any, work: Any, customer: Any) -> None:
-            self.send(work)
+            self.send_first_attempt(work)
 
         return admit
 
     def without_ceiling(old: Any) -> Any:
-        def customer_of(self: Any, request: api.Request, plan: api.Plan) -> Any:
+        def account_for(self: Any, request: api.Request, plan: api.Plan) -> Any:
             customer = old(self, request, plan)
             customer.ceiling.stored_permits = customer.ceiling.max_permits = math.inf
             return customer
 
-        return customer_of
+        return account_for
 
     patch(policy.Limiter, "admit", make)
-    patch(policy.Limiter, "customer_of", without_ceiling)
-    patch(policy.Limiter, "pressed", lambda old: lambda self, work, part=1.0: False)
+    patch(policy.Limiter, "account_for", without_ceiling)
+    patch(policy.Limiter, "over_limit", lambda old: lambda self, work, part=1.0: False)
 
 
 def never_answers() -> None:
--- a/hookport/resp.py
+++ b/hookport/resp.py
@@ -11,7 +11,7 @@
 
 import hiredis
 
-from aniseshed.interface import Ask, Repeat, Request, Settings
+from aniseshed.interface import Idempotency, Request, RequestMode, Settings
 from hookport.config import Names
 
 LARGEST_VALUE = 64 * 1024
@@ -156,7 +156,7 @@
     def request_id(self) -> bytes:
         return self.words[2]
 
-    def request(self, request_id: int, patience_ns: int, ask: Ask = Ask.SEND) -> Request:
+    def request(self, request_id: int, patience_ns: int, ask: RequestMode = RequestMode.FORWARD) -> Request:
         """The event that tells the module of it."""
         fields = self.fields
         return Request(
@@ -164,12 +164,12 @@
             traffic_class=fields.index,
             plan=fields.plan,
             customer=self.customer,
-            patience_ns=patience_ns,
+            timeout_ns=patience_ns,
             units=fields.units,
             set_size=fields.spread,
             set_start=fields.first,
-            repeated=fields.repeated,
-            ask=ask,
+            is_retry=fields.repeated,
+            mode=ask,
         )
 
     def forward(self, wait_ms: int) -> bytes:
@@ -264,7 +264,7 @@
         plan = self.names.plans.get(fields.get(b"t", b""))
         if index is None or plan is None:
             raise CommandError("unknown class or plan")
-        if submit == (self.classes[index].repeat is Repeat.SAFE):
+        if submit == (self.classes[index].idempotency is Idempotency.SAFE):
             raise CommandError("wrong command for the class")
         return Fields(
             index=index,
--- a/tests/counter_model.py
+++ b/tests/counter_model.py
@@ -34,10 +34,10 @@
 
     def add(self, limiter: int, call: api.Count, now_ns: int) -> float:
         totals = self.sides[self.side_of(limiter)]
-        total, ends_ns = totals.get(call.name, (0.0, 0))
+        total, ends_ns = totals.get(call.key, (0.0, 0))
         if ends_ns <= now_ns:
             total, ends_ns = 0.0, now_ns + call.lifetime_ns
-        totals[call.name] = (total + call.amount, ends_ns)
+        totals[call.key] = (total + call.amount, ends_ns)
         return float(f"{total + call.amount:.7g}")
 
     def fate(self) -> str:
@@ -80,7 +80,7 @@
         quota = replace(SETTINGS.plans[0], rate=plan[0], burst=plan[1])
         self.settings = replace(
             SETTINGS, limiters=limiters, plans=(quota,), counter_timeout_ns=TIMEOUT_NS, largest_units=1,
-            may_tell=may_tell,
+            may_message_peers=may_tell,
         )  # fmt: skip
         self.now_ns, self.restarts = START, 0
         self.skew_ns = skew_ns  # by which the clocks of odd limiters are ahead
@@ -95,7 +95,7 @@
     def fresh(self, index: int) -> Bench:
         self.restarts += 1
         bench = Bench(replace(self.settings, index=index), seed=1000 * self.restarts + index)
-        bench.now = self.now_ns + self.skew_ns * (index % 2)
+        bench.now_ns = self.now_ns + self.skew_ns * (index % 2)
         return bench
 
     def restart(self, index: int) -> None:
@@ -137,7 +137,7 @@
 
     def begin(self) -> None:
         """Measure from now on: what limiters owe for a start from nothing is not the trouble's."""
-        accounts = [(bench.limiter.customers.get(1), bench.now) for bench in self.benches]
+        accounts = [(bench.limiter.accounts.get(1), bench.now_ns) for bench in self.benches]
         known = [self.plan[1] if account is None else account.refill(now) for account, now in accounts]
         self.store, self.store_ns, self.lowest = max(self.store, min(known)), self.now_ns, 0.0
 
@@ -147,34 +147,34 @@
             self.shift_ns = self.now_ns + round(self.chance.uniform(3, 8) * SECOND)
         bench = self.chance.choices(self.benches, self.weights)[0]
         self.asked += 1
-        self.waiting.append((bench, bench.ask(set_size=float(self.limiters))))
+        self.waiting.append((bench, bench.request(set_size=float(self.limiters))))
 
     def settle(self) -> None:
         """Everything that is due by now: answers, timers, calls, words; then what was sent on or refused."""
         for index, bench in enumerate(self.benches):
-            bench.advance(self.now_ns + self.skew_ns * (index % 2) - bench.now)
-            for _ in bench.told:
+            bench.advance(self.now_ns + self.skew_ns * (index % 2) - bench.now_ns)
+            for _ in bench.peer_messages:
                 for other, peer in enumerate(self.benches):
                     if other != index and self.chance.random() < 0.95:
-                        peer.feed(api.PeerMessage(index, bench.told[0].payload))
-            bench.told.clear()
+                        peer.handle(api.PeerMessage(index, bench.peer_messages[0].payload))
+            bench.peer_messages.clear()
         due = [item for item in self.pending if item[0] <= self.now_ns]
         self.pending = [item for item in self.pending if item[0] > self.now_ns]
         for _, bench, event in due:
-            bench.feed(event)
+            bench.handle(event)
         for index, bench in enumerate(self.benches):
-            while calls := bench.beats or bench.unanswered:
+            while calls := bench.heartbeats or bench.pending_calls:
                 self.call(index, bench, calls.pop(0))
-            for account in bench.limiter.customers.values():
+            for account in bench.limiter.accounts.values():
                 assert abs(account.check()) < 1e-6, "the books do not balance"
         self.steps += 1
         still = []
         for bench, request_id in self.waiting:
             if bench.was_sent(request_id):
-                if (request_id, 0) in bench.limiter.flights:
-                    bench.end(request_id)
+                if (request_id, 0) in bench.limiter.in_flight:
+                    bench.end_attempt(request_id)
                 self.take()
-            elif request_id in bench.finals:
+            elif request_id in bench.final_answers:
                 self.refused += 1
             else:
                 still.append((bench, request_id))
@@ -190,13 +190,13 @@
         fate = self.counter.fate()
 
         def ends(outcome: api.Outcome, total: float = 0.0) -> api.Counted:
-            return api.Counted(call.name, outcome, total, TIMEOUT_NS, call.call)
+            return api.Counted(call.key, outcome, total, TIMEOUT_NS, call.call_id)
 
         if fate == "busy":
-            return void(bench.feed(ends(api.Outcome.FULL)))
+            return void(bench.handle(ends(api.Outcome.FULL)))
         total = 0.0 if fate == "swallowed" else self.counter.add(index, call, self.now_ns)
         if fate == "well":
-            return void(bench.feed(ends(api.Outcome.OK, total)))
+            return void(bench.handle(ends(api.Outcome.OK, total)))
         self.pending.append((self.now_ns + TIMEOUT_NS, bench, ends(api.Outcome.TIMEOUT)))
         if fate == "late":
             late_ns = self.now_ns + round(TIMEOUT_NS * self.chance.uniform(1.01, 4))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -25,27 +25,27 @@
 """  # a plan of the rehearsal kit: two limiters, two customers, three seconds
 
 SAFE = api.TrafficClass(
-    aim_ns=SECOND,
+    target_ns=SECOND,
     deadline_ns=3 * SECOND,
-    worth=1.0,
-    late_worth=0.0,
-    repeat=api.Repeat.SAFE,
-    group=api.Group.ALL,
-    window_ns=0,
+    value=1.0,
+    late_value=0.0,
+    idempotency=api.Idempotency.SAFE,
+    dedup_scope=api.DedupScope.ALL,
+    dedup_window_ns=0,
     stream=False,
-    aim_stretch=0.0,
+    target_stretch=0.0,
 )
-UNSAFE = replace(SAFE, repeat=api.Repeat.UNSAFE)
-KEYED = replace(SAFE, repeat=api.Repeat.KEYED, window_ns=SECOND // 2)
+UNSAFE = replace(SAFE, idempotency=api.Idempotency.UNSAFE)
+KEYED = replace(SAFE, idempotency=api.Idempotency.KEYED, dedup_window_ns=SECOND // 2)
 PLAN = api.Plan(
     rate=10.0,
     burst=20.0,
-    max_open=0,
+    max_in_flight=0,
     ceiling_rate=0.0,
     ceiling_burst=0.0,
     price=1.0,
-    over_worth=0.0,
-    over_cost=1.0,
+    over_quota_value=0.0,
+    over_quota_cost=1.0,
 )
 SETTINGS = api.Settings(
     index=0,
@@ -54,32 +54,32 @@
     classes=(SAFE, UNSAFE, KEYED),
     plans=(PLAN,),
     largest_units=4,
-    settles=False,
+    settles_usage=False,
     has_counter=True,
     counter_timeout_ns=50 * MS,
     max_attempts=3,
-    max_held=1000,
+    max_pending=1000,
     may_probe=True,
     may_cancel=True,
     may_duplicate=True,
-    may_advise=True,
-    may_tell=False,
+    may_send_retry_after=True,
+    may_message_peers=False,
     max_retry_after_ns=SECOND,
     connect_timeout_ns=250 * MS,
     subscribe=False,
-    ask_within_ns=10 * SECOND,
+    resubscribe_within_ns=10 * SECOND,
     drain_grace_ns=SECOND,
-    cold_from=0.25,
-    cold_ns=15 * SECOND,
-    fall_multiple=3.0,
-    fall_ns=SECOND,
+    cold_capacity_share=0.25,
+    warm_up_ns=15 * SECOND,
+    overload_multiple=3.0,
+    overload_ns=SECOND,
     report_fields=(),
 )
 START = 1000 * SECOND
 
 
-def entry(number: int, health: api.Health = api.Health.READY, born_ns: int = 0) -> api.ServerEntry:
-    return api.ServerEntry(bytes([10, 0, 0, number, 35, 40]), 0, 0, 0, health, 1.0, born_ns)
+def entry(number: int, health: api.Health = api.Health.READY, started_ns: int = 0) -> api.ServerEntry:
+    return api.ServerEntry(bytes([10, 0, 0, number, 35, 40]), 0, 0, 0, health, 1.0, started_ns)
 
 
 class Bench:
@@ -87,89 +87,91 @@
 
     def __init__(self, settings: api.Settings = SETTINGS, servers: int = 20, seed: int = 1) -> None:
         self.limiter = Limiter(settings, seed)
-        self.now = START
+        self.now_ns = START
         self.sent: dict[tuple[int, int], api.Send] = {}
         self.attempts: dict[int, int] = {}
         self.timers: list[tuple[int, int]] = []
-        self.finals: dict[int, api.Action] = {}
-        self.counts: list[api.Count] = []
-        self.unanswered: list[api.Count] = []
-        self.beats: list[api.Count] = []
-        self.told: list[api.Tell] = []
-        self.next_id = 1
-        self.feed(api.ServerList(api.ListKind.CACHED, tuple(entry(n) for n in range(1, servers + 1))))
-
-    def feed(self, event: api.Event) -> list[api.Action]:
-        actions = self.limiter.handle(self.now, event)
+        self.final_answers: dict[int, api.Action] = {}
+        self.counter_calls: list[api.Count] = []
+        self.pending_calls: list[api.Count] = []
+        self.heartbeats: list[api.Count] = []
+        self.peer_messages: list[api.Tell] = []
+        self.next_request_id = 1
+        self.handle(api.ServerList(api.ListKind.CACHED, tuple(entry(n) for n in range(1, servers + 1))))
+
+    def handle(self, event: api.Event) -> list[api.Action]:
+        actions = self.limiter.handle(self.now_ns, event)
         for action in actions:
             if isinstance(action, api.Send):
                 number = self.attempts.get(action.request_id, 0)
                 self.attempts[action.request_id] = number + 1
                 self.sent[(action.request_id, number)] = action
             elif isinstance(action, api.SetTimer):
-                self.timers.append((self.now + action.delay_ns, action.token))
-            elif isinstance(action, api.Refuse | api.Fail | api.Verdict):
-                assert action.request_id not in self.finals, "two final answers"
-                self.finals[action.request_id] = action
-            elif isinstance(action, api.Count) and action.name & TOP_CUSTOMER > TOP_CUSTOMER - FIRST_GROUPS:
-                self.beats.append(action)  # of the roll
+                self.timers.append((self.now_ns + action.delay_ns, action.token))
+            elif isinstance(action, api.Refuse | api.Fail | api.QuotaAnswer):
+                assert action.request_id not in self.final_answers, "two final answers"
+                self.final_answers[action.request_id] = action
+            elif isinstance(action, api.Count) and action.key & TOP_CUSTOMER > TOP_CUSTOMER - FIRST_GROUPS:
+                self.heartbeats.append(action)  # of the roll
             elif isinstance(action, api.Count):
-                self.counts.append(action)
-                self.unanswered.append(action)
+                self.counter_calls.append(action)
+                self.pending_calls.append(action)
             elif isinstance(action, api.Tell):
-                self.told.append(action)
+                self.peer_messages.append(action)
         return actions
 
-    def ask(self, customer: int = 1, kind: int = 0, units: float = 1.0, **more: object) -> int:
+    def request(self, customer: int = 1, class_index: int = 0, units: float = 1.0, **more: object) -> int:
         fields: dict[str, object] = dict(
-            request_id=self.next_id,
-            traffic_class=kind,
+            request_id=self.next_request_id,
+            traffic_class=class_index,
             plan=0,
             customer=customer,
-            patience_ns=3 * SECOND,
+            timeout_ns=3 * SECOND,
             units=units,
             set_size=2.0,
             set_start=0.0,
-            repeated=False,
+            is_retry=False,
         )
         fields.update(more)
-        self.next_id += 1
-        self.feed(api.Request(**fields))  # type: ignore[arg-type]
-        return self.next_id - 1
+        self.next_request_id += 1
+        self.handle(api.Request(**fields))  # type: ignore[arg-type]
+        return self.next_request_id - 1
 
-    def end(
+    def end_attempt(
         self,
         request_id: int,
         outcome: api.Outcome = api.Outcome.OK,
         attempt: int = 0,
-        took_ns: int = 20 * MS,
-        settled: int = 0,
+        elapsed_ns: int = 20 * MS,
+        settled_units: int = 0,
     ) -> list[api.Action]:
         server = self.sent[(request_id, attempt)].server
         concluded = outcome is api.Outcome.OK
-        return self.feed(
-            api.AttemptEnded(request_id, attempt, server, outcome, took_ns, concluded, 0, settled, ())
+        return self.handle(
+            api.AttemptEnded(
+                request_id, attempt, server, outcome, elapsed_ns, concluded, 0, settled_units, ()
+            )
         )
 
-    def counted(self, total: float, outcome: api.Outcome = api.Outcome.OK) -> list[api.Action]:
+    def answer_call(self, total: float, outcome: api.Outcome = api.Outcome.OK) -> list[api.Action]:
         """Answer the oldest call that is still out."""
-        call = self.unanswered.pop(0)
-        return self.feed(api.Counted(call.name, outcome, total, 2 * MS, call.call))
+        call = self.pending_calls.pop(0)
+        return self.handle(api.Counted(call.key, outcome, total, 2 * MS, call.call_id))
 
-    def answer_counts(self) -> None:
+    def answer_all_calls(self) -> None:
         """Answer all calls for customer 1 as if nobody else spent."""
-        while self.unanswered:
-            self.counted(sum(c.amount for c in self.counts))
+        while self.pending_calls:
+            self.answer_call(sum(c.amount for c in self.counter_calls))
 
     def advance(self, by_ns: int) -> None:
         """Move on, firing what falls due in order."""
-        end = self.now + by_ns
+        end = self.now_ns + by_ns
         while due := sorted(t for t in self.timers if t[0] <= end):
             at, token = due[0]
             self.timers.remove((at, token))
-            self.now = max(self.now, at)
-            self.feed(api.TimerFired(token))
-        self.now = end
+            self.now_ns = max(self.now_ns, at)
+            self.handle(api.TimerFired(token))
+        self.now_ns = end
 
     def was_sent(self, request_id: int) -> bool:
         return request_id in self.attempts
--- a/tests/quota_model.py
+++ b/tests/quota_model.py
@@ -56,18 +56,18 @@
     waiting: list[tuple[Bench, int]] = []
 
     def add(call: api.Count) -> float:
-        total, ends_ns = counts.get(call.name, (0.0, 0))
+        total, ends_ns = counts.get(call.key, (0.0, 0))
         if ends_ns <= now_ns:
             total, ends_ns = 0.0, now_ns + call.lifetime_ns
-        counts[call.name] = (total + call.amount, ends_ns)
+        counts[call.key] = (total + call.amount, ends_ns)
         return total + call.amount
 
     def settle() -> None:
         for bench in benches:
-            bench.advance(now_ns - bench.now)
-            while bench.unanswered:
+            bench.advance(now_ns - bench.now_ns)
+            while bench.pending_calls:
                 tally.calls += 1
-                bench.counted(add(bench.unanswered[0]))
+                bench.answer_call(add(bench.pending_calls[0]))
 
     while now_ns < START + length_s * SECOND:
         now_ns += round(chance.expovariate(usage * plan[0]) * SECOND)
@@ -78,18 +78,18 @@
         bench = chance.choices(benches, weights)[0]
         tally.asked += 1
         tally.gateway += gateway.take(now_ns)
-        waiting.append((bench, bench.ask(set_size=float(limiters))))
+        waiting.append((bench, bench.request(set_size=float(limiters))))
         settle()
         still = []
         for bench, request_id in waiting:
             if bench.was_sent(request_id):
-                if (request_id, 0) in bench.limiter.flights:
-                    bench.end(request_id)
+                if (request_id, 0) in bench.limiter.in_flight:
+                    bench.end_attempt(request_id)
                 if store.take(now_ns):
                     tally.inside += 1
                 else:
                     tally.beyond += 1
-            elif request_id in bench.finals:
+            elif request_id in bench.final_answers:
                 tally.refused += 1
                 tally.refused_full += store.level(now_ns) > plan[1] / 2
             else:
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -26,18 +26,18 @@
         self.exact = SmoothBursty(START, PLAN.rate, PLAN.burst, PLAN.burst)  # what one gateway would hold
 
     def add(self, call: api.Count, now_ns: int) -> float:
-        total, ends_ns = self.counts.get(call.name, (0.0, 0))
+        total, ends_ns = self.counts.get(call.key, (0.0, 0))
         if ends_ns <= now_ns:
             total, ends_ns = 0.0, now_ns + call.lifetime_ns
-        self.counts[call.name] = (total + call.amount, ends_ns)
+        self.counts[call.key] = (total + call.amount, ends_ns)
         return total + call.amount
 
     def answer(self, bench: Bench) -> None:
-        while bench.unanswered:
-            call = bench.unanswered[0]
+        while bench.pending_calls:
+            call = bench.pending_calls[0]
             self.calls += 1
             self.told += call.amount
-            bench.counted(self.add(call, bench.now))
+            bench.answer_call(self.add(call, bench.now_ns))
 
     def advance(self, by_ns: int) -> None:
         for bench in self.benches:
@@ -47,18 +47,18 @@
     def ask(self, at: int, units: float = 1.0) -> bool:
         """One request, served at once if it is sent on; whether it was."""
         bench = self.benches[at]
-        request_id = bench.ask(units=units, set_size=self.size)
+        request_id = bench.request(units=units, set_size=self.size)
         self.answer(bench)
         if not bench.was_sent(request_id):
             return False
-        bench.end(request_id)
-        self.exact.resync(bench.now)
+        bench.end_attempt(request_id)
+        self.exact.resync(bench.now_ns)
         self.exact.stored_permits -= units
         self.sent += units
         return True
 
     def account(self, at: int) -> Account:
-        return self.benches[at].limiter.customers[1]
+        return self.benches[at].limiter.accounts[1]
 
 
 def test_a_window_that_ends_charges_nobody_twice() -> None:
@@ -67,7 +67,7 @@
     sent = [tier.ask(n % 3) for n in range(120) if tier.advance(250 * MS) is None]
     assert all(sent)
     for at in range(3):
-        room = tier.account(at).refill(tier.benches[at].now)
+        room = tier.account(at).refill(tier.benches[at].now_ns)
         assert room > 0.6 * PLAN.burst, f"limiter {at} believes {room:.1f} of {PLAN.burst:.0f} units are left"
 
 
@@ -140,14 +140,14 @@
 def held_bench() -> tuple[Bench, int, Account]:
     bench = Bench(replace(SETTINGS, has_counter=False))
     for _ in range(11):
-        bench.ask()
-    return bench, bench.ask(), bench.limiter.customers[1]
+        bench.request()
+    return bench, bench.request(), bench.limiter.accounts[1]
 
 
 def test_a_held_request_whose_client_goes_gives_its_units_back() -> None:
     bench, held, account = held_bench()
     before, stored = account.charged, account.bucket.stored_permits
-    bench.feed(api.HungUp(held))
+    bench.handle(api.HungUp(held))
     assert account.charged == before - 1 and account.bucket.stored_permits > stored
     bench.advance(SECOND)
     assert not bench.was_sent(held)
@@ -156,22 +156,22 @@
 def test_a_held_request_that_finds_no_server_gives_its_units_back() -> None:
     bench, held, account = held_bench()
     before = account.charged
-    bench.feed(api.ServerList(api.ListKind.FULL, ()))
+    bench.handle(api.ServerList(api.ListKind.FULL, ()))
     bench.advance(SECOND)
-    assert isinstance(bench.finals[held], api.Refuse) and account.charged == before - 1
+    assert isinstance(bench.final_answers[held], api.Refuse) and account.charged == before - 1
 
 
 def test_a_grant_for_a_client_that_has_gone_is_given_back() -> None:
     bench = Bench()
     for _ in range(11):
-        bench.ask()
-    bench.answer_counts()
+        bench.request()
+    bench.answer_all_calls()
     bench.advance(20 * MS)
-    asked = bench.ask()
-    account = bench.limiter.customers[1]
+    asked = bench.request()
+    account = bench.limiter.accounts[1]
     charged = account.charged
-    bench.feed(api.HungUp(asked))
-    bench.counted(sum(c.amount for c in bench.counts))
+    bench.handle(api.HungUp(asked))
+    bench.answer_call(sum(c.amount for c in bench.counter_calls))
     assert account.charged == charged and abs(account.check()) < 1e-6
     assert not bench.was_sent(asked)
 
@@ -194,7 +194,7 @@
 
 
 def total_held(bench: Bench) -> float:
-    return sum(work.charged for work in bench.limiter.work.values() if not work.attempts)
+    return sum(work.charged_units for work in bench.limiter.pending.values() if not work.attempts)
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -212,27 +212,27 @@
         step = chance.random()
         if step < 0.45:
             amount = float(chance.randint(1, 4))
-            before = bench.next_id
+            before = bench.next_request_id
             units[at][before] = amount
-            bench.ask(customer=chance.randint(1, 3), kind=chance.randrange(2), units=amount)
-        elif step < 0.75 and bench.unanswered:
-            call = bench.unanswered[0]
+            bench.request(customer=chance.randint(1, 3), class_index=chance.randrange(2), units=amount)
+        elif step < 0.75 and bench.pending_calls:
+            call = bench.pending_calls[0]
             fate = chance.random()
             if fate < 0.75:
-                totals[call.name] = totals.get(call.name, 0.0) + call.amount
-                bench.counted(totals[call.name])
+                totals[call.key] = totals.get(call.key, 0.0) + call.amount
+                bench.answer_call(totals[call.key])
             elif fate < 0.85:
-                bench.counted(0.0, api.Outcome.FULL)
+                bench.answer_call(0.0, api.Outcome.FULL)
             else:
-                bench.counted(0.0, api.Outcome.TIMEOUT)
+                bench.answer_call(0.0, api.Outcome.TIMEOUT)
         elif step < 0.85:
-            out = [key for key in bench.sent if key in bench.limiter.flights]
+            out = [key for key in bench.sent if key in bench.limiter.in_flight]
             if out:
                 request_id, attempt = chance.choice(out)
                 outcome = chance.choice([api.Outcome.OK, api.Outcome.FULL, api.Outcome.RESET])
-                bench.end(request_id, outcome, attempt)
-        elif step < 0.88 and bench.limiter.work:
-            bench.feed(api.HungUp(chance.choice(list(bench.limiter.work))))
+                bench.end_attempt(request_id, outcome, attempt)
+        elif step < 0.88 and bench.limiter.pending:
+            bench.handle(api.HungUp(chance.choice(list(bench.limiter.pending))))
         elif step < 0.89:
             totals.clear()
         else:
@@ -243,7 +243,7 @@
                 if (request_id, 0) in other.sent and request_id not in first[n]:
                     first[n].add(request_id)
                     sent[n] += units[n][request_id]
-            accounts = other.limiter.customers.values()
+            accounts = other.limiter.accounts.values()
             assert all(abs(account.check()) < 1e-6 for account in accounts), f"seed {seed}"
             charged = sum(account.charged for account in accounts)
             assert charged == pytest.approx(sent[n] + total_held(other)), f"seed {seed}"
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -106,7 +106,7 @@
             client.writer.write(b"noise\r\n")
             said = await ended(client)
             assert said[0].startswith("ERR failed") and said[1] == "b'PONG'" and said[2].startswith("ERR ")
-            assert not node.open and not node.limiter.work
+            assert not node.open and not node.limiter.pending
 
     run(scenario)
 
@@ -164,7 +164,7 @@
             client = await (await world.start()).client()
             client.send(*query()[:3], fields)
             assert len(await ended(client)) == 1
-            assert world.node and not world.node.limiter.customers
+            assert world.node and not world.node.limiter.accounts
             assert await (await world.client()).ask(*query(2)) == b"value"
 
     run(scenario)
--- a/tests/test_bad_servers.py
+++ b/tests/test_bad_servers.py
@@ -109,7 +109,7 @@
             world.discovery.push(change(41, row("s-39", port, "DELETED"), row("s-0", port, "DELETED")))
             await until(lambda: not pool.places and not pool.links)
             assert not pool.draining and not pool.idle and not node.limiter.servers
-            assert not node.attempts and not node.limiter.flights
+            assert not node.attempts and not node.limiter.in_flight
 
     run(scenario)
 
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from aniseshed.interface import Health, ListKind, Outcome, ServerEntry, ServerList, Trust
-from aniseshed.state import Server, apply_list
+from aniseshed.state import Server, apply_server_list
 from hookport.membership import words
 from hookport.membership.curve import DEFAULT, SECOND_NS, Curve, Point
 from hookport.membership.fleet import GONE_NS, HOLD_NS, LEAST_OPEN, Fleet, Gone, Held, Kept, State, Update
@@ -55,7 +55,7 @@
         if update:
             self.lines += update.lines
             if update.listed:
-                apply_list(self.servers, update.listed)
+                apply_server_list(self.servers, update.listed)
 
     def start(self, list_kept: Kept | None, *known: ServerEntry, generation: int = 0) -> Believer:
         told, places = listed(*known, kind=ListKind.CACHED)
@@ -123,13 +123,13 @@
 
 def test_a_server_may_have_restarted_unheard_and_counts_as_cold_until_a_list_says_otherwise() -> None:
     believer = Believer().start(kept(1, entry(0)))
-    assert believer.servers[b"s-0"].entry.presumed_ns == NOW
+    assert believer.servers[b"s-0"].entry.presumed_start_ns == NOW
     believer.wait(5)
     believer.ended(0, Outcome.RESET)
     believer.wait(2)
-    assert believer.servers[b"s-0"].entry.presumed_ns == NOW + 5 * SECOND_NS
+    assert believer.servers[b"s-0"].entry.presumed_start_ns == NOW + 5 * SECOND_NS
     believer.told(41, entry(0))
-    assert believer.servers[b"s-0"].entry.presumed_ns == 0 and believer.trust(0) is Trust.TOLD
+    assert believer.servers[b"s-0"].entry.presumed_start_ns == 0 and believer.trust(0) is Trust.TOLD
 
 
 def test_a_list_from_the_future_has_no_age_and_is_the_oldest() -> None:
--- a/tests/test_counter_lost.py
+++ b/tests/test_counter_lost.py
@@ -145,7 +145,7 @@
     world.shift_ns = 1 << 62
     world.run(8)
     assert not any(bench.limiter.roll.split for bench in world.benches) and dead
-    assert world.benches[0].limiter.customers[1].part == 1.0
+    assert world.benches[0].limiter.accounts[1].part == 1.0
 
 
 def test_where_limiters_may_not_speak_who_does_not_answer_the_roll_is_taken_for_split() -> None:
@@ -156,7 +156,7 @@
     world.weights, world.shift_ns = [1.0, 1.0], 1 << 62
     world.run(8)
     assert world.benches[0].limiter.roll.split == {2}
-    assert world.benches[0].limiter.customers[1].part == pytest.approx(2 / 3)
+    assert world.benches[0].limiter.accounts[1].part == pytest.approx(2 / 3)
 
 
 def test_a_fresh_counter_is_taught_before_a_newcomer_grants() -> None:
@@ -166,27 +166,27 @@
     world.run(1.0)
     world.restart(0)
     world.run(2.0)
-    believed = world.benches[0].limiter.customers[1].refill(world.now_ns)
+    believed = world.benches[0].limiter.accounts[1].refill(world.now_ns)
     assert believed < 0.6 * PREMIUM[1]
 
 
 def test_a_silent_counter_leaves_each_slice_its_part_of_the_room() -> None:
     bench = Bench(replace(SETTINGS, limiters=2))
     for _ in range(4):
-        bench.ask()
-        while bench.unanswered:
-            bench.counted(18.0)  # the other limiter has spent nearly all
+        bench.request()
+        while bench.pending_calls:
+            bench.answer_call(18.0)  # the other limiter has spent nearly all
         bench.advance(100 * MS)
-    account = bench.limiter.customers[1]
-    room, stored = account.refill(bench.now), account.bucket.stored_permits
+    account = bench.limiter.accounts[1]
+    room, stored = account.refill(bench.now_ns), account.bucket.stored_permits
     assert room / 2 < stored
     for _ in range(3):
-        bench.ask(units=3.0)
-        while bench.unanswered:
-            bench.counted(0.0, api.Outcome.TIMEOUT)
+        bench.request(units=3.0)
+        while bench.pending_calls:
+            bench.answer_call(0.0, api.Outcome.TIMEOUT)
         bench.advance(round(SILENT_WAITS * SETTINGS.counter_timeout_ns))
-    assert bench.limiter.weather.silent(bench.now)
-    bench.ask()
+    assert bench.limiter.weather.silent(bench.now_ns)
+    bench.request()
     assert account.bucket.stored_permits <= max(0.0, account.room) / 2 + 1e-6
 
 
@@ -358,11 +358,11 @@
 def test_the_report_names_state_bound_and_who_is_away() -> None:
     world = World(7, 4, PREMIUM, 1.0)
     world.run(5)
-    assert "state=well" in world.benches[0].limiter.report().line()
+    assert "state=well" in world.benches[0].limiter.report().to_log_line()
     world.counter.split()
     world.run(6)
     told = world.benches[0].limiter.report()
-    assert told.state is State.SPLIT and told.away == (1, 3)
+    assert told.state is State.SPLIT and told.unreachable == (1, 3)
     assert told.bound_units == (pytest.approx(world.bound(State.SPLIT)),)
 
 
@@ -425,19 +425,19 @@
 def test_a_replaced_counter_is_taught_without_being_asked() -> None:
     bench = Bench()
     for _ in range(6):
-        bench.ask()
-    while bench.unanswered:
-        bench.counted(sum(c.amount for c in bench.counts))
+        bench.request()
+    while bench.pending_calls:
+        bench.answer_call(sum(c.amount for c in bench.counter_calls))
     digit = 0.0
     for _ in range(4):
         bench.advance(BEAT_NS)
-        while bench.beats:
-            beat = bench.beats.pop(0)
+        while bench.heartbeats:
+            beat = bench.heartbeats.pop(0)
             digit += beat.amount
-            bench.feed(api.Counted(beat.name, api.Outcome.OK, digit, MS, beat.call))
+            bench.handle(api.Counted(beat.key, api.Outcome.OK, digit, MS, beat.call_id))
     bench.advance(BEAT_NS)
-    calls = len(bench.counts)
-    beat = bench.beats.pop(0)
-    bench.feed(api.Counted(beat.name, api.Outcome.OK, max(0.0, beat.amount), MS, beat.call))  # from zero
+    calls = len(bench.counter_calls)
+    beat = bench.heartbeats.pop(0)
+    bench.handle(api.Counted(beat.key, api.Outcome.OK, max(0.0, beat.amount), MS, beat.call_id))  # from zero
     bench.advance(100 * MS)
-    assert len(bench.counts) > calls and bench.limiter.weather.replaced_ns > START
+    assert len(bench.counter_calls) > calls and bench.limiter.weather.replaced_ns > START
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,11 +24,11 @@
         self.calls = 0
 
     def answer(self, bench: Bench) -> None:
-        while bench.unanswered:
-            call = bench.unanswered[0]
+        while bench.pending_calls:
+            call = bench.pending_calls[0]
             self.calls += 1
-            self.numbers[call.name] = self.numbers.get(call.name, 0.0) + call.amount
-            bench.counted(self.numbers[call.name])
+            self.numbers[call.key] = self.numbers.get(call.key, 0.0) + call.amount
+            bench.answer_call(self.numbers[call.key])
 
 
 def passed(benches: list[Bench]) -> float:
@@ -43,10 +43,10 @@
         for bench in benches:
             bench.advance(25 * MS)
         bench = chance.choice(benches)
-        rid = bench.ask(units=each, set_size=float(LIMITERS))
+        rid = bench.request(units=each, set_size=float(LIMITERS))
         counter.answer(bench)
         if bench.was_sent(rid):
-            bench.end(rid)
+            bench.end_attempt(rid)
     quota = SMALL.burst + SMALL.rate * seconds
     assert 0.5 * quota < passed(benches) * each < 1.7 * quota
 
@@ -58,21 +58,21 @@
     for step in range(400):
         for bench in benches:
             bench.advance(25 * MS)
-            bench.ask(customer=step, units=2.0, set_size=float(LIMITERS))
-            late += len(bench.unanswered) if step >= 200 else 0
-            while bench.unanswered:
-                bench.counted(0.0, api.Outcome.FULL)
+            bench.request(customer=step, units=2.0, set_size=float(LIMITERS))
+            late += len(bench.pending_calls) if step >= 200 else 0
+            while bench.pending_calls:
+                bench.answer_call(0.0, api.Outcome.FULL)
     assert late < 10 * 5 * 3  # ten limiters, five seconds: a few calls a second each while nobody is heard
 
 
 def test_first_attempts_of_all_limiters_at_a_cold_server_are_bounded() -> None:
     # Guards against each limiter's first attempt being harmless and their sum pushing a cold server over.
     benches = fleet(replace(FLEET, has_counter=False), servers=60)
-    cold = entry(61, born_ns=START)
+    cold = entry(61, started_ns=START)
     for bench in benches:
-        bench.feed(api.ServerList(api.ListKind.DELTA, (cold,)))
+        bench.handle(api.ServerList(api.ListKind.DELTA, (cold,)))
         for n in range(3):
-            bench.ask(customer=n, set_size=float(LIMITERS))
+            bench.request(customer=n, set_size=float(LIMITERS))
     sends = [send.server for bench in benches for send in bench.sent.values()]
     assert len(sends) > LIMITERS and sends.count(cold.server) < LIMITERS / 4
 
@@ -83,7 +83,7 @@
     benches = fleet(settings)
     for _ in range(100):
         for bench in benches:
-            bench.ask()
+            bench.request()
             bench.advance(20 * MS)
     assert passed(benches) < 20 * 20  # twenty servers that never answer: no more than twenty out at each
 
@@ -91,47 +91,47 @@
 def test_a_server_full_for_one_plan_still_serves_the_other() -> None:
     plans = (SETTINGS.plans[0], replace(SETTINGS.plans[0], price=2.0))
     bench = Bench(replace(SETTINGS, plans=plans), servers=1)
-    turned = bench.ask(customer=1)
-    bench.end(turned, api.Outcome.FULL)
-    assert isinstance(bench.finals[turned], api.Refuse)  # no tour of servers: there is no other
-    assert not bench.was_sent(bench.ask(customer=1))
-    assert bench.was_sent(bench.ask(customer=2, plan=1))
+    turned = bench.request(customer=1)
+    bench.end_attempt(turned, api.Outcome.FULL)
+    assert isinstance(bench.final_answers[turned], api.Refuse)  # no tour of servers: there is no other
+    assert not bench.was_sent(bench.request(customer=1))
+    assert bench.was_sent(bench.request(customer=2, plan=1))
     bench.advance(3 * SECOND)
-    assert bench.was_sent(bench.ask(customer=1))
+    assert bench.was_sent(bench.request(customer=1))
 
 
 def test_full_answers_do_not_cut_the_limit() -> None:
     bench = Bench()
-    before = bench.limiter.limit
+    before = bench.limiter.concurrency_limit
     for n in range(20):
-        bench.end(bench.ask(customer=n), api.Outcome.FULL)
-    assert bench.limiter.limit >= before
+        bench.end_attempt(bench.request(customer=n), api.Outcome.FULL)
+    assert bench.limiter.concurrency_limit >= before
 
 
 def test_work_that_cannot_end_in_the_clients_time_is_not_begun() -> None:
     bench = Bench()
     for n in range(20):
-        bench.end(bench.ask(customer=n), took_ns=400 * MS)
-    assert isinstance(bench.finals[bench.ask(customer=50, patience_ns=200 * MS)], api.Refuse)
-    assert bench.was_sent(bench.ask(customer=51, patience_ns=SECOND))
+        bench.end_attempt(bench.request(customer=n), elapsed_ns=400 * MS)
+    assert isinstance(bench.final_answers[bench.request(customer=50, timeout_ns=200 * MS)], api.Refuse)
+    assert bench.was_sent(bench.request(customer=51, timeout_ns=SECOND))
 
 
 def test_the_first_caller_of_a_window_hands_on_what_is_missing() -> None:
     bench = Bench()
     bench.advance(4900 * MS)
-    bench.ask(units=4.0)
-    bench.counted(64.0)  # others have spent most of the burst at the window's very end
+    bench.request(units=4.0)
+    bench.answer_call(64.0)  # others have spent most of the burst at the window's very end
     bench.advance(200 * MS)  # into the next window
-    bench.ask(units=4.0)
-    bench.counted(bench.unanswered[0].amount)  # nobody else has called yet
-    assert bench.limiter.customers[1].handed > 10 and bench.unanswered[0].amount > 10  # at once
+    bench.request(units=4.0)
+    bench.answer_call(bench.pending_calls[0].amount)  # nobody else has called yet
+    assert bench.limiter.accounts[1].handed > 10 and bench.pending_calls[0].amount > 10  # at once
 
 
 def test_hundreds_of_servers_and_absurd_sets_raise_nothing() -> None:
     bench = Bench(replace(FLEET, index=119), servers=250)
     for size in (0.0, -3.0, 1e9):
         for n in range(50):
-            bench.ask(customer=n, set_size=size)
+            bench.request(customer=n, set_size=size)
     assert bench.sent
 
 
@@ -139,13 +139,13 @@
     # Guards against a backoff computed from an unbounded number of misses.
     bench = Bench()
     for n in range(3000):
-        rid = bench.ask(customer=n, units=12.0)
-        while bench.unanswered:
-            bench.counted(0.0, api.Outcome.TIMEOUT)
+        rid = bench.request(customer=n, units=12.0)
+        while bench.pending_calls:
+            bench.answer_call(0.0, api.Outcome.TIMEOUT)
         bench.advance(400 * MS)
         if bench.was_sent(rid):
-            bench.end(rid)
-    assert len(bench.counts) > 1100
+            bench.end_attempt(rid)
+    assert len(bench.counter_calls) > 1100
 
 
 def listed(*entries: api.ServerEntry) -> api.ServerList:
@@ -155,8 +155,10 @@
 def doubted(trust: api.Trust, presumed_ns: int = 0, servers: int = 1) -> Bench:
     """A limiter whose list says how far its servers are trusted."""
     bench = Bench(replace(SETTINGS, limiters=1, has_counter=False), servers=0)
-    bench.feed(
-        listed(*(replace(entry(n), trust=trust, presumed_ns=presumed_ns) for n in range(1, servers + 1)))
+    bench.handle(
+        listed(
+            *(replace(entry(n), trust=trust, presumed_start_ns=presumed_ns) for n in range(1, servers + 1))
+        )
     )
     return bench
 
@@ -165,39 +167,41 @@
     for trust, kinds in ((api.Trust.SAFE, (0,)), (api.Trust.CAREFUL, (0, 1)), (api.Trust.NONE, ())):
         for kind in (0, 1):
             bench = doubted(trust)
-            first, second = bench.ask(kind=kind), bench.ask(customer=2)
+            first, second = bench.request(class_index=kind), bench.request(customer=2)
             assert bench.was_sent(first) is (kind in kinds)
             assert bench.was_sent(second) is (kind not in kinds and trust is api.Trust.SAFE)
 
 
 def test_a_search_waits_for_a_doubted_server_only_a_part_of_its_aim() -> None:
     bench = doubted(api.Trust.CAREFUL)
-    assert 0 < bench.sent[bench.ask(), 0].until_ns - bench.now < SAFE.aim_ns / 2
+    assert 0 < bench.sent[bench.request(), 0].deadline_ns - bench.now_ns < SAFE.target_ns / 2
     bench = doubted(api.Trust.CAREFUL)
-    assert bench.sent[bench.ask(kind=1), 0].until_ns == 0, "a claim that may have run has nowhere else to go"
+    assert bench.sent[bench.request(class_index=1), 0].deadline_ns == 0, (
+        "a claim that may have run has nowhere else to go"
+    )
 
 
 def test_a_server_that_may_be_cold_gets_one_more_at_a_time_for_each_answer() -> None:
     bench = doubted(api.Trust.TOLD, presumed_ns=START)
     for allowed in (1, 2, 3):
-        asked = [bench.ask(customer=n) for n in range(6)]
+        asked = [bench.request(customer=n) for n in range(6)]
         sent = [n for n in asked if bench.was_sent(n)]
         assert len(sent) == allowed
-        bench.end(sent[0])
+        bench.end_attempt(sent[0])
         for n in sent[1:]:
-            bench.end(n, api.Outcome.FULL)
+            bench.end_attempt(n, api.Outcome.FULL)
         bench.advance(3 * SECOND)
-    bench.feed(listed(replace(entry(1), presumed_ns=START + 1)))
-    asked = [bench.ask(customer=n) for n in range(6)]
+    bench.handle(listed(replace(entry(1), presumed_start_ns=START + 1)))
+    asked = [bench.request(customer=n) for n in range(6)]
     assert sum(map(bench.was_sent, asked)) == 1, "it may have started again"
-    bench.feed(listed(entry(1)))
-    assert sum(bench.was_sent(bench.ask(customer=n)) for n in range(6)) > 1, "a list says that it has not"
+    bench.handle(listed(entry(1)))
+    assert sum(bench.was_sent(bench.request(customer=n)) for n in range(6)) > 1, "a list says that it has not"
 
 
 def test_a_fleet_that_is_all_cold_is_served_one_attempt_at_a_time() -> None:
     bench = doubted(api.Trust.TOLD)
-    bench.feed(listed(entry(1, born_ns=START)))
+    bench.handle(listed(entry(1, started_ns=START)))
     for n in range(20):
-        request = bench.ask(customer=n)
-        assert bench.was_sent(request) and not bench.was_sent(bench.ask(customer=n + 100))
-        bench.end(request)
+        request = bench.request(customer=n)
+        assert bench.was_sent(request) and not bench.was_sent(bench.request(customer=n + 100))
+        bench.end_attempt(request)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -289,12 +289,14 @@
     ceiling = replace(SETTINGS.plans[0], ceiling_rate=2.0, ceiling_burst=4.0)
     bench = Bench(replace(SETTINGS, limiters=1, has_counter=False, plans=(ceiling,)))
     bench.limiter.retry_tokens = 0.0
-    bench.ask(units=1.0, set_size=1.0, ask=api.Ask.TAKE)
+    bench.request(units=1.0, set_size=1.0, mode=api.RequestMode.TAKE)
     bench.advance(SECOND)
-    granted = [bench.ask(units=1.0, set_size=1.0, ask=api.Ask.TAKE) for _ in range(6)]
-    assert [isinstance(bench.finals[n], api.Verdict) for n in granted] == [True, True] + [False] * 4
-    bench.ask(units=1.0, set_size=1.0, ask=api.Ask.PEEK)
-    assert not bench.limiter.work and not bench.limiter.retry_tokens and not bench.sent
+    granted = [bench.request(units=1.0, set_size=1.0, mode=api.RequestMode.TAKE) for _ in range(6)]
+    assert [isinstance(bench.final_answers[n], api.QuotaAnswer) for n in granted] == [True, True] + [
+        False
+    ] * 4
+    bench.request(units=1.0, set_size=1.0, mode=api.RequestMode.PEEK)
+    assert not bench.limiter.pending and not bench.limiter.retry_tokens and not bench.sent
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -314,13 +316,15 @@
             chance.uniform(0, quota.burst),
         )
         fits = []
-        for bench, ask in ((forwards, api.Ask.SEND), (takes, api.Ask.TAKE)):
+        for bench, ask in ((forwards, api.RequestMode.FORWARD), (takes, api.RequestMode.TAKE)):
             bench.advance(step_ns)
-            request = bench.ask(customer, units=units, set_size=float(size), ask=ask)
-            while bench.unanswered:
-                bench.counted(total)
+            request = bench.request(customer, units=units, set_size=float(size), mode=ask)
+            while bench.pending_calls:
+                bench.answer_call(total)
             bench.advance(400 * MS)
             if bench.was_sent(request):
-                bench.end(request)
-            fits.append(bench.was_sent(request) or isinstance(bench.finals.get(request), api.Verdict))
+                bench.end_attempt(request)
+            fits.append(
+                bench.was_sent(request) or isinstance(bench.final_answers.get(request), api.QuotaAnswer)
+            )
         assert fits[0] == fits[1]
--- a/tests/test_marks.py
+++ b/tests/test_marks.py
@@ -68,16 +68,16 @@
         moved = turn >= 200
         for member in range(2):
             bench = benches[(member + moved) % 3]
-            bench.ask(7, set_start=float(moved))
-            while bench.unanswered:
-                call = bench.unanswered[0]
-                totals[call.name] += call.amount  # type: ignore[assignment]
-                bench.counted(totals[call.name])
+            bench.request(7, set_start=float(moved))
+            while bench.pending_calls:
+                call = bench.pending_calls[0]
+                totals[call.key] += call.amount  # type: ignore[assignment]
+                bench.answer_call(totals[call.key])
         for bench in benches:
             bench.advance(50 * MS)
-            for asked, number in list(bench.limiter.flights):
-                bench.end(asked, attempt=number)
-    accounts = [bench.limiter.customers[7] for bench in benches]
+            for asked, number in list(bench.limiter.in_flight):
+                bench.end_attempt(asked, attempt=number)
+    accounts = [bench.limiter.accounts[7] for bench in benches]
     assert all(a.digit is not None for a in accounts)
     assert all(a.again_ns < 0 for a in accounts)  # nobody took the count for one that began again
     assert all(abs(a.check()) < 1e-6 for a in accounts)
@@ -184,20 +184,22 @@
 def test_the_module_tells_a_swallowed_call_again() -> None:
     bench = Bench()
     for _ in range(6):
-        bench.ask()
-    bench.counted(0.0, api.Outcome.TIMEOUT)
+        bench.request()
+    bench.answer_call(0.0, api.Outcome.TIMEOUT)
     bench.advance(SETTINGS.counter_timeout_ns)
-    bench.ask(units=4.0)
-    bench.counted(bench.counts[-1].amount)  # a total that lacks the first call
-    customer = bench.limiter.customers[1]
-    assert customer.unreported + sum(c.amount for c in bench.counts[1:]) == pytest.approx(10.0, abs=0.1)
+    bench.request(units=4.0)
+    bench.answer_call(bench.counter_calls[-1].amount)  # a total that lacks the first call
+    customer = bench.limiter.accounts[1]
+    assert customer.unreported + sum(c.amount for c in bench.counter_calls[1:]) == pytest.approx(
+        10.0, abs=0.1
+    )
 
 
 def test_calls_remembered_after_their_time_out_are_bounded() -> None:
     bench = Bench()
     for _ in range(3000):
-        bench.end(bench.ask(customer=bench.next_id, units=4.0))
-        while bench.unanswered:
-            bench.counted(0.0, api.Outcome.TIMEOUT)
+        bench.end_attempt(bench.request(customer=bench.next_request_id, units=4.0))
+        while bench.pending_calls:
+            bench.answer_call(0.0, api.Outcome.TIMEOUT)
         bench.advance(SETTINGS.counter_timeout_ns * 20)
-    assert len(bench.counts) > 600 and len(bench.limiter.questions) <= 501
+    assert len(bench.counter_calls) > 600 and len(bench.limiter.counter_calls) <= 501
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -378,7 +378,7 @@
             world.stubs[0].handler = reset
             assert str(await client.ask(*submit())) == "ERR internal error"
             assert "ZeroDivisionError" in caplog.text
-            assert not world.node.limiter.work  # or the module would send what is answered already
+            assert not world.node.limiter.pending  # or the module would send what is answered already
             handlers[AttemptEnded] = ended
             world.stubs[0].handler = serve
             assert await client.ask(*query(2)) == b"value"
@@ -468,7 +468,7 @@
             assert not first.commands and len(second.commands) == 6
             world.discovery.push(change(3, row("s-0", first.port, started=1_800_000_000_000), whole=True))
             await until(lambda: b"s-1" not in servers)
-            assert servers[b"s-0"].born_ns == 1_800_000_000_000 * 10**6
+            assert servers[b"s-0"].started_ns == 1_800_000_000_000 * 10**6
             assert list(world.node.servers.places) == [b"s-0"]
 
     run(scenario)
--- a/tests/test_spent.py
+++ b/tests/test_spent.py
@@ -12,7 +12,7 @@
 from aniseshed.account import SmoothBursty
 from aniseshed.spent import KIND, MOST_KNOWN, SPENT_NS, WORDS_SAVED, Spent
 
-TOLD = replace(FLEET, may_tell=True)
+TOLD = replace(FLEET, may_message_peers=True)
 BASIC, PREMIUM = 0, 2
 
 
@@ -22,11 +22,11 @@
 
 def answered(bench: Bench, total: float | None = None, **request: object) -> int:
     """One request, its calls answered: with ``total``, or as if nobody else spent."""
-    request_id = bench.ask(**{"set_size": 150.0, "plan": PREMIUM, **request})  # type: ignore[arg-type]
-    while bench.unanswered:
-        bench.counted(bench.unanswered[0].amount if total is None else total)
+    request_id = bench.request(**{"set_size": 150.0, "plan": PREMIUM, **request})  # type: ignore[arg-type]
+    while bench.pending_calls:
+        bench.answer_call(bench.pending_calls[0].amount if total is None else total)
     if bench.was_sent(request_id):
-        bench.end(request_id)
+        bench.end_attempt(request_id)
     return request_id
 
 
@@ -39,15 +39,15 @@
 
 
 def words(bench: Bench) -> list[bytes]:
-    return [tell.payload for tell in bench.told if tell.payload.startswith(KIND)]
+    return [tell.payload for tell in bench.peer_messages if tell.payload.startswith(KIND)]
 
 
 def test_who_was_refused_by_the_counter_is_told_of_once_while_it_holds() -> None:
     bench = Bench(TOLD, servers=LIMITERS)
     bench.advance(10 * SECOND)
     refused = answered(bench, 500.0, customer=7)
-    assert not bench.was_sent(refused) and refused in bench.finals
-    assert words(bench) == [word(7)] and all(tell.peer is None for tell in bench.told)
+    assert not bench.was_sent(refused) and refused in bench.final_answers
+    assert words(bench) == [word(7)] and all(tell.peer is None for tell in bench.peer_messages)
     answered(bench, 500.0, customer=7)
     assert words(bench) == [word(7)], "all have heard it"
     bench.advance(10 * SECOND)
@@ -58,7 +58,7 @@
 def test_what_another_told_is_not_told_again() -> None:
     bench = Bench(TOLD, servers=LIMITERS)
     bench.advance(60 * SECOND)
-    bench.feed(api.PeerMessage(3, word(7)))
+    bench.handle(api.PeerMessage(3, word(7)))
     assert not bench.was_sent(answered(bench, 500.0, customer=7))
     assert not words(bench)
 
@@ -79,27 +79,27 @@
     bench = Bench(TOLD, servers=LIMITERS)
     bench.advance(60 * SECOND)
     answered(bench, customer=7, plan=plan, set_size=set_size)
-    bench.limiter.customers[7].bucket.reserve(40.0)  # others of its requests took the slice ahead
-    asked = bench.ask(customer=7, plan=plan, set_size=set_size)
-    assert bench.unanswered and not bench.was_sent(asked)
-    while bench.unanswered:
-        bench.counted(500.0)
-    assert asked in bench.finals and len(words(bench)) == told
+    bench.limiter.accounts[7].bucket.reserve(40.0)  # others of its requests took the slice ahead
+    asked = bench.request(customer=7, plan=plan, set_size=set_size)
+    assert bench.pending_calls and not bench.was_sent(asked)
+    while bench.pending_calls:
+        bench.answer_call(500.0)
+    assert asked in bench.final_answers and len(words(bench)) == told
 
 
 def test_who_hears_leaves_the_customer_to_the_counter_until_the_word_ends() -> None:
     bench = without_calls()
-    bench.feed(api.PeerMessage(3, word(7)))
+    bench.handle(api.PeerMessage(3, word(7)))
     refused, other = answered(bench, customer=7), answered(bench, customer=8)
-    final = bench.finals[refused]
+    final = bench.final_answers[refused]
     assert isinstance(final, api.Refuse) and 0 < final.retry_after_ns <= SPENT_NS
     assert bench.was_sent(other), "nobody told of this one"
-    calls = len(bench.counts)
+    calls = len(bench.counter_calls)
     bench.advance(SECOND)
     assert bench.was_sent(answered(bench, customer=7)), "a call is free again, and the counter grants it"
-    assert len(bench.counts) > calls
+    assert len(bench.counter_calls) > calls
     late = without_calls()
-    late.feed(api.PeerMessage(3, word(7)))
+    late.handle(api.PeerMessage(3, word(7)))
     late.advance(SPENT_NS)
     for n in range(10):
         answered(late, customer=20_000 + n)
@@ -108,15 +108,15 @@
 
 def test_a_slice_that_holds_the_request_is_the_customers_own() -> None:
     bench = without_calls()
-    bench.feed(api.PeerMessage(3, word(7)))
+    bench.handle(api.PeerMessage(3, word(7)))
     assert bench.was_sent(answered(bench, customer=7, set_size=2.0))
 
 
 def test_while_the_counter_is_silent_the_slice_alone_decides() -> None:
     bench = without_calls()
-    bench.feed(api.PeerMessage(3, word(7)))
-    bench.limiter.weather.unheard_ns = bench.now - SECOND
-    assert bench.limiter.weather.silent(bench.now)
+    bench.handle(api.PeerMessage(3, word(7)))
+    bench.limiter.weather.unheard_ns = bench.now_ns - SECOND
+    assert bench.limiter.weather.silent(bench.now_ns)
     assert bench.was_sent(answered(bench, customer=7))
 
 
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -24,7 +24,10 @@
     SETTINGS,
     limiters=LIMITERS,
     index=70,
-    classes=(replace(SAFE, worth=2.0), replace(UNSAFE, aim_ns=2 * SECOND, deadline_ns=6 * SECOND, worth=5.0)),
+    classes=(
+        replace(SAFE, value=2.0),
+        replace(UNSAFE, target_ns=2 * SECOND, deadline_ns=6 * SECOND, value=5.0),
+    ),
     plans=PLANS,
     counter_timeout_ns=30 * MS,
 )
@@ -39,35 +42,35 @@
     chance, bench = random.Random(seed), Bench(FLEET, servers=LIMITERS)
     asked, sent = Counter[int](), Counter[int]()
     ends, waiting = list[tuple[int, int, int]](), dict[int, int]()
-    while bench.now < START + length_s * SECOND:
-        due = bench.now + round(chance.expovariate(rate) * SECOND)
+    while bench.now_ns < START + length_s * SECOND:
+        due = bench.now_ns + round(chance.expovariate(rate) * SECOND)
         while ends and ends[0][0] <= due:
             at, request_id, took_ns = heapq.heappop(ends)
-            bench.advance(at - bench.now)
-            bench.end(request_id, took_ns=took_ns)
-        bench.advance(due - bench.now)
+            bench.advance(at - bench.now_ns)
+            bench.end_attempt(request_id, elapsed_ns=took_ns)
+        bench.advance(due - bench.now_ns)
         kind = CLAIM if chance.random() < 0.44 else SEARCH
-        request_id = bench.ask(
+        request_id = bench.request(
             traffic_class=kind,
             plan=chance.randrange(3),
             customer=chance.randrange(10_000),
             units=1.0 + kind,
             set_size=150.0,
-            patience_ns=FLEET.classes[kind].deadline_ns,
+            timeout_ns=FLEET.classes[kind].deadline_ns,
         )
         asked[kind] += 1
         waiting[request_id] = kind
-        while bench.unanswered:
+        while bench.pending_calls:
             if silent:
-                bench.counted(0.0, Outcome.TIMEOUT)
+                bench.answer_call(0.0, Outcome.TIMEOUT)
             else:
-                bench.counted(bench.unanswered[0].amount)
+                bench.answer_call(bench.pending_calls[0].amount)
         for request_id, kind in list(waiting.items()):
             if bench.was_sent(request_id):
                 del waiting[request_id]
                 sent[kind] += 1
                 took_ns = round(chance.gammavariate(2, answer_ms * (1 + kind) / 2) * MS)
-                heapq.heappush(ends, (bench.now + took_ns, request_id, took_ns))
+                heapq.heappush(ends, (bench.now_ns + took_ns, request_id, took_ns))
     return asked, sent
 
 
@@ -89,37 +92,39 @@
 
 def test_hundreds_call_no_roll_where_no_set_is_as_small_as_a_group() -> None:
     bench = Bench(FLEET, servers=LIMITERS)
-    bench.ask(set_size=150.0)
+    bench.request(set_size=150.0)
     bench.advance(5 * SECOND)
-    assert not bench.beats and not bench.told, "a call and a word a second from each of 200 limiters"
-    bench.ask(customer=2, set_size=4.0)
+    assert not bench.heartbeats and not bench.peer_messages, (
+        "a call and a word a second from each of 200 limiters"
+    )
+    bench.request(customer=2, set_size=4.0)
     bench.advance(SECOND)
-    assert len(bench.beats) == 1
+    assert len(bench.heartbeats) == 1
 
 
 def test_word_goes_to_those_who_have_a_use_for_it() -> None:
-    bench = Bench(replace(FLEET, may_tell=True), servers=LIMITERS)
-    bench.ask(set_size=4.0)
+    bench = Bench(replace(FLEET, may_message_peers=True), servers=LIMITERS)
+    bench.request(set_size=4.0)
     bench.advance(SECOND)
-    assert [tell.peer for tell in bench.told] == [64, 65, 66, 67, 68, 69, 71]
-    few = Bench(replace(FLEET, may_tell=True, limiters=3, index=1))
-    few.ask()
+    assert [tell.peer for tell in bench.peer_messages] == [64, 65, 66, 67, 68, 69, 71]
+    few = Bench(replace(FLEET, may_message_peers=True, limiters=3, index=1))
+    few.request()
     few.advance(SECOND)
-    assert [tell.peer for tell in few.told] == [None]
+    assert [tell.peer for tell in few.peer_messages] == [None]
 
 
 def test_a_silent_counter_is_asked_whether_it_is_back_though_nobody_comes() -> None:
     bench = Bench(FLEET, servers=LIMITERS)
     for n in range(20):
-        bench.ask(customer=n, set_size=150.0)
-        while bench.unanswered:
-            bench.counted(0.0, Outcome.TIMEOUT)
+        bench.request(customer=n, set_size=150.0)
+        while bench.pending_calls:
+            bench.answer_call(0.0, Outcome.TIMEOUT)
         bench.advance(100 * MS)
-    assert bench.limiter.weather.silent(bench.now)
+    assert bench.limiter.weather.silent(bench.now_ns)
     bench.advance(2 * SECOND)
-    beat = bench.beats[-1]
-    bench.feed(Counted(beat.name, Outcome.OK, 0.0, 2 * MS, beat.call))
-    assert not bench.limiter.weather.silent(bench.now)
+    beat = bench.heartbeats[-1]
+    bench.handle(Counted(beat.key, Outcome.OK, 0.0, 2 * MS, beat.call_id))
+    assert not bench.limiter.weather.silent(bench.now_ns)
     assert bench.limiter.pace.misses == 0, "and the next requests may ask it again"
 
 
@@ -128,27 +133,27 @@
     bench = Bench(FLEET, servers=LIMITERS)
 
     def claim(n: int, took_ns: int) -> bool:
-        request_id = bench.ask(
-            traffic_class=CLAIM, customer=n, units=2.0, set_size=150.0, patience_ns=4 * SECOND
+        request_id = bench.request(
+            traffic_class=CLAIM, customer=n, units=2.0, set_size=150.0, timeout_ns=4 * SECOND
         )
-        while bench.unanswered:
-            bench.counted(bench.unanswered[0].amount)
+        while bench.pending_calls:
+            bench.answer_call(bench.pending_calls[0].amount)
         bench.advance(took_ns)
         if sent := bench.was_sent(request_id):
-            bench.end(request_id, took_ns=took_ns)
+            bench.end_attempt(request_id, elapsed_ns=took_ns)
         bench.advance(2 * SECOND)
         return sent
 
     assert claim(0, 6 * SECOND)
-    assert bench.limiter.usual_ns[CLAIM] * 2 > 4 * SECOND
+    assert bench.limiter.unit_latency_ns[CLAIM] * 2 > 4 * SECOND
     tries = [claim(n, 300 * MS) for n in range(1, 20)]
-    assert sum(tries) == 19 and bench.limiter.usual_ns[CLAIM] < SECOND
+    assert sum(tries) == 19 and bench.limiter.unit_latency_ns[CLAIM] < SECOND
 
 
 def test_while_one_slow_request_is_out_no_second_is_sent() -> None:
     bench = Bench(FLEET, servers=LIMITERS)
-    bench.limiter.usual_ns[SEARCH] = 3.5 * SECOND
-    sent = [bench.was_sent(bench.ask(customer=n, set_size=1.0)) for n in range(3)]
+    bench.limiter.unit_latency_ns[SEARCH] = 3.5 * SECOND
+    sent = [bench.was_sent(bench.request(customer=n, set_size=1.0)) for n in range(3)]
     assert sent == [True, False, False]
 
 
