--- a/aniseshed/drill.py
+++ b/aniseshed/drill.py
@@ -15,7 +15,7 @@
 from aniseshed import wire
 from aniseshed.policy import Limiter
 
-MOST_FRAME = 1 << 30  # a length beyond this is taken for a broken stream, not for a batch
+MAX_FRAME_BYTES = 1 << 30  # a length beyond this is taken for a broken stream, not for a batch
 
 
 class Adapter:
@@ -44,11 +44,11 @@
 
     def record(self, now_ns: int, code: int, data: memoryview, out: list[bytes]) -> None:
         """Hand one record to where it belongs; unknown codes are passed over."""
-        if code == wire.SNAPSHOT_ROWS:
+        if code == wire.SERVER_LIST_RECORD:
             page, entries = wire.read_list(data)
             self.pages[page] = entries
             return
-        if code == wire.START:
+        if code == wire.START_RECORD:
             instance, seed, length = wire.START_FIXED.unpack_from(data)
             start = wire.START_FIXED.size
             try:
@@ -57,7 +57,7 @@
             except Exception as error:  # told on the wire as this instance's failure
                 out.append(wire.give_in(instance, f"{type(error).__name__}: {error}"))
             return
-        if code == wire.LIST_EVENT:
+        if code == wire.LIST_CHANGED_RECORD:
             instance, page, _, mode = wire.MEMBERSHIP.unpack_from(data)
             kind = wire.LIST_KINDS.get(mode)
             if kind is None:
@@ -65,7 +65,7 @@
             event: api.Event = api.ServerList(
                 kind, () if kind is api.ListKind.FAILED else self.pages.get(page, ())
             )
-        elif code == wire.CRASH_NOW:
+        elif code == wire.CRASH_RECORD:
             gone = wire.INSTANCE.unpack_from(data)[0]
             self.instances.pop(gone, None)
             self.calls = {key: calls for key, calls in self.calls.items() if key[0] != gone}
@@ -103,7 +103,7 @@
         if len(head) < wire.SIZE.size:
             raise wire.WireError("the input ends inside a frame's length")
         (size,) = wire.SIZE.unpack(head)
-        if not wire.BATCH_HEAD.size <= size <= MOST_FRAME:
+        if not wire.BATCH_HEAD.size <= size <= MAX_FRAME_BYTES:
             raise wire.WireError(f"a frame of {size} bytes is not a batch")
         batch = source.read(size)
         if len(batch) < size:
--- a/aniseshed/policy.py
+++ b/aniseshed/policy.py
@@ -22,32 +22,32 @@
 from aniseshed.state import Attempt, PendingRequest, Server, TimeAverage, apply_server_list
 from aniseshed.weather import Weather
 
-LATE_CALLS = 500  # remembered after their time-out: what a silent second leaves, a few hundred bytes each
-COUNTER_WAITS = 3.0  # counter time-outs that a client must have left for a question
-HOLD_AIM = 0.4  # of the aim: the longest hold that still leaves time to be served
-IDLE_WINDOWS = 2.0  # windows without traffic after which a bucket is full anyway and forgotten
-GAIN = 0.1  # weight of one answer in the running means: about ten answers to believe a change
-OVERDUE = 3.0  # an attempt out for this many usual times says by itself that its server is slow
-CANDIDATES = 8  # servers that a limiter keeps to: few enough to know them by its own answers
-FULL_AIM = 2.0  # aims for which a server is passed over by a plan's class that it was full for
-EJECT_FAILS = 2  # failures in a row that eject a server: one may be chance
-EJECT_TIMEOUTS = 4.0  # connect time-outs that an ejection lasts; then one attempt at a time
-EJECT_MOST = 0.5  # of the fleet at most ejected: if more fail, the fault is not theirs
-TRY_AIM = 0.3  # of the aim: the longest wait for a server that has yet to prove itself
-PACE = 0.5  # of the multiple at which a cold server falls: all limiters stay this far below it
-WATCH_AGAIN = 0.2  # of the time in which discovery must be asked, to twice that: when to ask again
-LATE_AIM = 0.75  # of the aim: an answer later than this counts as late, while there is time to react
-LATE_SHARE = 0.15  # of late answers that shows congestion: more than the tail of the work itself
-LATE_GAIN = 0.05  # weight of one answer in that share: a few late ones in a row are chance
-CUT = 0.75  # what a cut leaves of the limit; once for the attempts sent since the last cut
-FIRST_OUT = 3.0  # attempts out at a server, over all limiters, that it is first thought to bear
-RAISE_AT = 0.5  # of the limit: out more than this, answers in time raise it
-RAISE = 0.08  # added to the limit for each answer in time after a cut, and no more than one a round
-CHEAP_LIMIT = 0.5  # of the limit that the cheapest request may use, so that dear ones find room
-RETRY_RATIO = 0.15  # further attempts for each first one, so that retries never double a load
-RETRY_DEPOSIT = 10.0  # and this many may be saved up for a sudden failure
-MOST_TAUGHT = 64  # customers told again after a replacement without being asked: the busiest of a window
-WORD = b"here"  # to the other limiters, once a beat
+MAX_LATE_CALLS = 500  # timed-out counter calls kept in case a late answer comes; a few hundred bytes each
+MIN_COUNTER_TIMEOUTS_LEFT = 3.0  # The counter is asked only if the client still waits this many time-outs.
+MAX_QUOTA_WAIT_SHARE = 0.4  # of the latency target; a longer wait for quota leaves no time to be served
+ACCOUNT_IDLE_WINDOWS = 2.0  # An account idle for this many windows has a full bucket and is dropped.
+EWMA_WEIGHT = 0.1  # of one answer in the running means, so about ten answers establish a change
+MAX_LATENCY_RATIO = 3.0  # A slower answer counts as this multiple of the mean latency.
+MAX_CANDIDATES = 8  # servers per limiter, few enough to learn each one's latency from its own answers
+FULL_BACKOFF_TARGETS = 2.0  # latency targets for which a plan and class skip a server that was full for them
+EJECT_FAILURES = 2  # consecutive failures that eject a server; a single one may be chance
+EJECTION_CONNECT_TIMEOUTS = 4.0  # length of an ejection; afterwards one attempt at a time
+MAX_EJECTED_SHARE = 0.5  # of the servers; if more fail, the fault is not theirs and none is skipped
+UNPROVEN_TIMEOUT_SHARE = 0.3  # of the latency target; the time limit of an attempt at an unproven server
+COLD_PACE_SHARE = 0.5  # of the rate that overloads a cold server, which all limiters share
+RESUBSCRIBE_SHARE = 0.2  # of the time allowed to resubscribe; the delay is one to two times this share
+LATE_TARGET_SHARE = 0.75  # of the latency target; later answers count as late while there is time to react
+CONGESTION_LATE_SHARE = 0.15  # share of late answers that shows congestion; above the tail of the work itself
+LATE_EWMA_WEIGHT = 0.05  # of one answer in the share of late ones; a few late answers in a row are chance
+DECREASE_FACTOR = 0.75  # multiplies the limit, once for all attempts sent since the last decrease
+INITIAL_LIMIT_PER_SERVER = 3.0  # attempts in flight per server, over all limiters together
+MIN_USE_TO_INCREASE = 0.5  # of the limit; below this use, answers in time do not raise it
+INCREASE_PER_ANSWER = 0.08  # added per answer in time, at most 1 for each round of `limit` answers
+LOWEST_VALUE_LIMIT_SHARE = 0.5  # of the limit; the rest is kept for requests of a higher value
+RETRY_RATIO = 0.15  # retries allowed per first attempt, so that retries never double the load
+MAX_RETRY_TOKENS = 10.0  # retries that may be saved up for a sudden failure
+MAX_RESYNCED_ACCOUNTS = 64  # sent again after the counter was replaced: the most recently used of a window
+HEARTBEAT_PAYLOAD = b"here"  # datagram to the other limiters, once per heartbeat
 NEVER_EXECUTED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
@@ -76,7 +76,7 @@
         self.max_timeout_ns = [0] * len(settings.classes)
         self.recent_attempts: list[deque[Attempt]] = [deque() for _ in settings.classes]
         self.concurrency_limit, self.late_share, self.decreased_ns, self.mean_value = 0.0, 0.0, 0, 0.0
-        self.retry_tokens, self.recent_answers, self.recent_answers_ns = RETRY_DEPOSIT, 0.0, 0
+        self.retry_tokens, self.recent_answers, self.recent_answers_ns = MAX_RETRY_TOKENS, 0.0, 0
         self.concurrency = TimeAverage(max((kind.target_ns for kind in settings.classes), default=SECOND_NS))
         self.handlers: dict[type, Callable[..., None]] = {
             api.Request: self.on_request, api.AttemptEnded: self.on_attempt_ended,
@@ -126,7 +126,7 @@
         work = self.pending[request.request_id] = PendingRequest(request, kind, plan, units, customer, aim_ns)
         full = plan.max_in_flight and customer.open >= max(1, int(plan.max_in_flight / customer.set_size))
         value = work.traffic_class.value * plan.price * units
-        self.mean_value += GAIN * (value - self.mean_value) if self.mean_value else value
+        self.mean_value += EWMA_WEIGHT * (value - self.mean_value) if self.mean_value else value
         work.value_rank = min(1.0, value / self.mean_value)
         # Guards against work that cannot end in the time its client has. One at a time is sent all the same:
         # nothing else could tell that its class has become faster.
@@ -164,7 +164,7 @@
             customer.lean(self.now_ns)
         # Guards against slices and grants together passing the quota: of a spent one, a slice is nothing.
         short = customer.total is not None and customer.refill(self.now_ns) < work.units
-        timely = work.request.timeout_ns > COUNTER_WAITS * self.settings.counter_timeout_ns
+        timely = work.request.timeout_ns > MIN_COUNTER_TIMEOUTS_LEFT * self.settings.counter_timeout_ns
         call = timely and not short and self.may_call_counter(1 + (CALLS_SAVED - 1) * (1 - work.value_rank))
         # Guards against all limiters of a large set taking ahead at once what none of their slices can hold.
         sliver = customer.bucket.max_permits < work.units
@@ -190,7 +190,7 @@
                 now_ns, request.customer, size, quota, ceiling, digit, now_ns - self.start_ns, self.weather
             )
             for old in list(self.accounts.values()):  # in order of last use
-                if old.calls or old.open or now_ns - old.seen_ns < IDLE_WINDOWS * old.window_ns:
+                if old.calls or old.open or now_ns - old.seen_ns < ACCOUNT_IDLE_WINDOWS * old.window_ns:
                     break
                 del self.accounts[old.name]
         self.accounts[request.customer] = customer
@@ -237,7 +237,7 @@
             }
             self.actions.append(api.Count(beat.name, beat.amount, 2 * EPOCH_NS, call))
         if self.settings.may_message_peers and self.roll.used:
-            self.actions += [api.Tell(other, WORD) for other in self.roll.listeners()]
+            self.actions += [api.Tell(other, HEARTBEAT_PAYLOAD) for other in self.roll.listeners()]
         if self.weather.look(self.now_ns, bool(self.roll.split)):
             self.actions.append(api.Log(self.report().to_log_line()))
 
@@ -245,7 +245,7 @@
         """After silence or a replacement: what the counter does not know of this limiter's customers."""
         teaching = bool(self.unsynced)
         lately = [c for c in self.accounts.values() if c.told_lately(self.now_ns) or c.unreported >= c.least]
-        self.unsynced = lately[-MOST_TAUGHT:]
+        self.unsynced = lately[-MAX_RESYNCED_ACCOUNTS:]
         if not teaching:
             self.resync_next()
 
@@ -269,7 +269,7 @@
             self.start_resync()
 
     def on_peer_message(self, event: api.PeerMessage) -> None:
-        if event.payload == WORD:
+        if event.payload == HEARTBEAT_PAYLOAD:
             self.roll.word(self.now_ns, event.sender)
         else:
             self.spent.heard(self.now_ns, event.payload)
@@ -321,7 +321,7 @@
             customer.missed(self.now_ns, question)
             self.counter_calls[event.call_id] = question  # its answer may come late
             oldest = next(iter(self.counter_calls))
-            if len(self.counter_calls) > LATE_CALLS and self.counter_calls[oldest].fate is not Fate.OUT:
+            if len(self.counter_calls) > MAX_LATE_CALLS and self.counter_calls[oldest].fate is not Fate.OUT:
                 del self.counter_calls[oldest]
         elif heard and work and question.fate is Fate.ENDED and self.settings.may_message_peers:
             self.announce_exhausted(work)
@@ -336,7 +336,9 @@
     def wait_or_refuse(self, work: PendingRequest) -> None:
         """Without a grant: wait for the ticket if deadline and aim allow, else refuse at once."""
         customer, work.awaiting_counter = work.account, False
-        if work.plan.over_quota_value > work.plan.over_quota_cost and not self.over_limit(work, CHEAP_LIMIT):
+        if work.plan.over_quota_value > work.plan.over_quota_cost and not self.over_limit(
+            work, LOWEST_VALUE_LIMIT_SHARE
+        ):
             return self.send_first_attempt(
                 work
             )  # beyond the quota it earns more than it costs, and there is room
@@ -347,7 +349,7 @@
             wait_ns = max(wait_ns, round(short / customer.rate * SECOND_NS))
         if customer.bucket.max_permits < work.units and not self.weather.silent(self.now_ns):
             wait_ns = max(wait_ns, self.spent.wait_ns(self.now_ns, customer.name))
-        if wait_ns > HOLD_AIM * (work.target_at_ns - self.now_ns):
+        if wait_ns > MAX_QUOTA_WAIT_SHARE * (work.target_at_ns - self.now_ns):
             return self.refuse(work, wait_ns)
         self.charge(work)  # told now, so that nobody grants it meanwhile
         self.set_timer(wait_ns, self.send_first_attempt, work)
@@ -371,7 +373,8 @@
     def on_server_list(self, event: api.ServerList) -> None:
         if event.kind is ListKind.FAILED and self.settings.subscribe:  # fires without work: subscribe
             self.set_timer(
-                self.settings.resubscribe_within_ns * WATCH_AGAIN * self.random.uniform(1, 2), self.retry
+                self.settings.resubscribe_within_ns * RESUBSCRIBE_SHARE * self.random.uniform(1, 2),
+                self.retry,
             )
         if event.kind is ListKind.CACHED and self.settings.subscribe:
             self.actions.append(api.Watch(True))
@@ -381,7 +384,9 @@
         first = self.settings.index * len(order) // self.limiters
         around = (self.servers[key] for key in order[first:] + order[:first])
         self.ring = [server for server in around if server.entry.trust]
-        self.concurrency_limit = self.concurrency_limit or FIRST_OUT * len(self.servers) / self.limiters
+        self.concurrency_limit = (
+            self.concurrency_limit or INITIAL_LIMIT_PER_SERVER * len(self.servers) / self.limiters
+        )
 
     def capacity_share(self, server: Server) -> float:
         """Slow start: the part of its capacity that a server is sure to have."""
@@ -393,10 +398,14 @@
     def over_limit(self, work: PendingRequest, part: float = 1.0) -> bool:
         """Guards against congestive collapse, whatever its cause: is the limit spent, for this worth?"""
         for kind, young in zip(self.settings.classes, self.recent_attempts, strict=True):
-            while young and young[0].sent_ns + LATE_AIM * kind.target_ns <= self.now_ns:
+            while young and young[0].sent_ns + LATE_TARGET_SHARE * kind.target_ns <= self.now_ns:
                 if (attempt := young.popleft()).in_flight:
                     self.adjust_limit(True, attempt.sent_ns)
-        limit = self.concurrency_limit * part * (CHEAP_LIMIT + (1 - CHEAP_LIMIT) * work.value_rank)
+        limit = (
+            self.concurrency_limit
+            * part
+            * (LOWEST_VALUE_LIMIT_SHARE + (1 - LOWEST_VALUE_LIMIT_SHARE) * work.value_rank)
+        )
         return (
             self.concurrency.mean(self.now_ns) >= limit
             or len(self.in_flight) >= limit + 2 * math.sqrt(limit) + 1
@@ -404,15 +413,15 @@
 
     def adjust_limit(self, late: bool, sent_ns: int) -> None:
         """Move the limit: up while it is used and answers are in time, down by a part when they are not."""
-        self.late_share += LATE_GAIN * (late - self.late_share)
+        self.late_share += LATE_EWMA_WEIGHT * (late - self.late_share)
         out = self.concurrency.mean(self.now_ns)
-        if late and self.late_share > LATE_SHARE and sent_ns > self.decreased_ns:
+        if late and self.late_share > CONGESTION_LATE_SHARE and sent_ns > self.decreased_ns:
             self.concurrency_limit = max(
-                len(self.servers) / self.limiters, CUT * min(self.concurrency_limit, out)
+                len(self.servers) / self.limiters, DECREASE_FACTOR * min(self.concurrency_limit, out)
             )
-            self.decreased_ns, self.late_share = self.now_ns, LATE_SHARE / 2
-        elif not late and out >= RAISE_AT * self.concurrency_limit:
-            self.concurrency_limit += min(RAISE, 1 / self.concurrency_limit)
+            self.decreased_ns, self.late_share = self.now_ns, CONGESTION_LATE_SHARE / 2
+        elif not late and out >= MIN_USE_TO_INCREASE * self.concurrency_limit:
+            self.concurrency_limit += min(INCREASE_PER_ANSWER, 1 / self.concurrency_limit)
 
     def pick_server(self, tried: list[Server], request: api.Request) -> Server | None:
         """The least loaded by own outstanding work and recent slowness, over what it can take."""
@@ -420,7 +429,7 @@
         spare, spare_cost = None, math.inf
         safe = self.settings.classes[request.traffic_class].idempotency is Idempotency.SAFE
         self.ejected = {server for server in self.ejected if server.ejected_until_ns > self.now_ns}
-        trust = len(self.ejected) <= EJECT_MOST * len(self.servers)
+        trust = len(self.ejected) <= MAX_EJECTED_SHARE * len(self.servers)
         for server in self.ring:
             out = trust and (
                 server.ejected_until_ns > self.now_ns or (server.on_probation and server.in_flight)
@@ -452,7 +461,7 @@
                 continue
             if cost < best_cost:
                 best, best_cost = server, cost
-            if (seen := seen + 1) >= CANDIDATES:
+            if (seen := seen + 1) >= MAX_CANDIDATES:
                 break
         # Guards against a fleet that is cold, or may be, being asked by nobody: one attempt at a time goes at
         # the server's own pace, however little that is.
@@ -465,7 +474,7 @@
             work.request.mode is RequestMode.TAKE,
             False,
         )
-        self.retry_tokens = min(RETRY_DEPOSIT, self.retry_tokens + RETRY_RATIO * (not takes))
+        self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_RATIO * (not takes))
         server = None if takes else self.pick_server([], work.request)
         ceiling.resync(self.now_ns)
         if ceiling.stored_permits < work.units or (server is None and not takes):
@@ -486,9 +495,9 @@
                 self.recent_answers
                 * SECOND_NS
                 / self.settings.warm_up_ns
-                / min(CANDIDATES, len(self.servers))
+                / min(MAX_CANDIDATES, len(self.servers))
             )
-            pace_ns = SECOND_NS / max(rate * share * self.settings.overload_multiple * PACE, 0.01)
+            pace_ns = SECOND_NS / max(rate * share * self.settings.overload_multiple * COLD_PACE_SHARE, 0.01)
             server.next_attempt_ns = max(server.next_attempt_ns, self.now_ns) + round(pace_ns)
         attempt = Attempt(server, work.account, index, work.request.plan, work.units, self.now_ns)
         self.concurrency.add(self.now_ns, 1)
@@ -499,7 +508,9 @@
         # Guards against a request waiting for its life at an address where nobody may be: it has time for
         # another.
         doubted = server.entry.trust is not Trust.TOLD and work.traffic_class.idempotency is Idempotency.SAFE
-        until_ns = self.now_ns + round(TRY_AIM * work.traffic_class.target_ns) if doubted else 0
+        until_ns = (
+            self.now_ns + round(UNPROVEN_TIMEOUT_SHARE * work.traffic_class.target_ns) if doubted else 0
+        )
         self.actions.append(api.Send(request_id, server.entry.server, until_ns))
 
     def retry(self, work: PendingRequest) -> bool:
@@ -521,7 +532,7 @@
             or spent
             or twice
             or server is None
-            or self.concurrency.mean(self.now_ns) >= CHEAP_LIMIT * self.concurrency_limit
+            or self.concurrency.mean(self.now_ns) >= LOWEST_VALUE_LIMIT_SHARE * self.concurrency_limit
         ):
             return False
         self.retry_tokens -= 1
@@ -544,7 +555,7 @@
         self.concurrency.add(self.now_ns, -1)
         attempt.in_flight, attempt.may_have_run = False, event.outcome not in NEVER_EXECUTED
         attempt.server.in_flight.pop((event.request_id, event.attempt), None)
-        in_time = event.elapsed_ns <= LATE_AIM * self.settings.classes[attempt.class_index].target_ns
+        in_time = event.elapsed_ns <= LATE_TARGET_SHARE * self.settings.classes[attempt.class_index].target_ns
         # Full says nothing of others: servers may turn one plan or class away though they have room.
         if event.outcome is Outcome.OK and in_time:
             self.adjust_limit(False, attempt.sent_ns)
@@ -566,9 +577,11 @@
         server, usual = attempt.server, self.unit_latency_ns[attempt.class_index]
         if event.outcome is Outcome.OK:
             took_ns = event.elapsed_ns / attempt.units
-            self.unit_latency_ns[attempt.class_index] = usual + GAIN * (took_ns - usual) if usual else took_ns
-            ratio = min(took_ns / max(1.0, self.unit_latency_ns[attempt.class_index]), OVERDUE)
-            server.slowness += GAIN * (ratio - server.slowness)
+            self.unit_latency_ns[attempt.class_index] = (
+                usual + EWMA_WEIGHT * (took_ns - usual) if usual else took_ns
+            )
+            ratio = min(took_ns / max(1.0, self.unit_latency_ns[attempt.class_index]), MAX_LATENCY_RATIO)
+            server.slowness += EWMA_WEIGHT * (ratio - server.slowness)
             passed = (self.now_ns - self.recent_answers_ns) / max(1, self.settings.warm_up_ns)
             self.recent_answers, self.recent_answers_ns = (
                 self.recent_answers * math.exp(-passed) + 1,
@@ -577,14 +590,14 @@
             server.consecutive_failures, server.on_probation, server.answers = 0, False, server.answers + 1
         elif event.outcome in (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.ERROR):
             server.consecutive_failures += 1
-            if server.consecutive_failures >= EJECT_FAILS:
+            if server.consecutive_failures >= EJECT_FAILURES:
                 server.ejected_until_ns = self.now_ns + round(
-                    EJECT_TIMEOUTS * self.settings.connect_timeout_ns
+                    EJECTION_CONNECT_TIMEOUTS * self.settings.connect_timeout_ns
                 )
                 server.on_probation = True
                 self.ejected.add(server)
         elif event.outcome is Outcome.FULL:
             aim_ns = self.settings.classes[attempt.class_index].target_ns
             server.full_until_ns[attempt.plan_index, attempt.class_index] = self.now_ns + round(
-                FULL_AIM * aim_ns
+                FULL_BACKOFF_TARGETS * aim_ns
             )
--- a/aniseshed/wire.py
+++ b/aniseshed/wire.py
@@ -38,10 +38,10 @@
 ENTER = Struct(">HIHQfQ")
 REPORTS = tuple(Struct(f">{n}f") for n in range(256))
 
-START, CRASH_NOW, SNAPSHOT_ROWS, LIST_EVENT = 1, 10, 12, 2
-EVERY_PEER = 0xFFFFFFFF
-MOST_U64 = (1 << 64) - 1
-MARKED_REPEAT = 2
+START_RECORD, CRASH_RECORD, SERVER_LIST_RECORD, LIST_CHANGED_RECORD = 1, 10, 12, 2
+ALL_PEERS = 0xFFFFFFFF
+MAX_U64 = (1 << 64) - 1
+RETRY_FLAG = 2
 
 REPEATS = {
     "pure": api.Idempotency.SAFE,
@@ -133,7 +133,7 @@
 
 def _request(data: memoryview) -> api.Event:
     _, rid, lane, plan, customer, grace, units, size, first, bits = WORK_ITEM.unpack_from(data)
-    return api.Request(rid, lane, plan, customer, grace, units, size, first, bool(bits & MARKED_REPEAT))
+    return api.Request(rid, lane, plan, customer, grace, units, size, first, bool(bits & RETRY_FLAG))
 
 
 def _begun(data: memoryview) -> api.Event:
@@ -195,13 +195,13 @@
 
 
 def _tell(instance: int, a: api.Tell) -> bytes:
-    whom = EVERY_PEER if a.peer is None else a.peer
+    whom = ALL_PEERS if a.peer is None else a.peer
     return SAY.pack(8, 8 + len(a.payload), instance, whom, len(a.payload)) + a.payload
 
 
 WRITERS: dict[type, Callable[[int, Any], bytes]] = {
     api.Send: lambda i, a: ROUTE.pack(1, 20, i, a.request_id, a.server, a.deadline_ns),
-    api.Refuse: lambda i, a: DENY.pack(2, 14, i, a.request_id, min(a.retry_after_ns, MOST_U64)),
+    api.Refuse: lambda i, a: DENY.pack(2, 14, i, a.request_id, min(a.retry_after_ns, MAX_U64)),
     api.Fail: lambda i, a: GIVE_UP.pack(3, 6, i, a.request_id),
     api.Cancel: lambda i, a: CALL_OFF.pack(4, 7, i, a.request_id, a.attempt),
     api.SetTimer: lambda i, a: WAKE_ME.pack(5, 14, i, a.delay_ns, a.token),
--- a/hookport/emulator/cell.py
+++ b/hookport/emulator/cell.py
@@ -2,9 +2,9 @@
 input.
 
 ``SOURCES`` is the source tree whose daemon is played, which may be another build than the one that asks.
-The run is a JSON object with ``plan``, ``seed`` and ``constants`` (numbers by full name); the history goes
-to standard output, as ``history.read`` takes it. An error ends it with status 1 and one line on standard
-error.
+The run is a JSON object with ``plan``, ``seed``, ``constants`` (numbers by full name) and ``other_names`` (by
+full name of a renamed constant, the other names under which the source tree may know it); the history goes to
+standard output, as ``history.read`` takes it. An error ends it with status 1 and one line on standard error.
 """
 
 from __future__ import annotations
@@ -13,6 +13,7 @@
 import json
 import os
 import sys
+from collections.abc import Sequence
 from typing import Any
 
 ROOMS = ("aniseshed", "hookport")
@@ -22,15 +23,22 @@
     """The run cannot be played; one line that says why."""
 
 
-def set_constant(name: str, value: float) -> None:
+def set_constant(name: str, value: float, other_names: Sequence[str] = ()) -> None:
     """Set a module's constant, also where other modules have taken it over by name.
 
+    A build that does not know ``name`` may know the constant under one of ``other_names``.
     What was worked out from it when its module was imported stays as it was."""
-    place, _, constant = name.rpartition(".")
-    try:
-        old = getattr(importlib.import_module(place), constant)
-    except (ImportError, AttributeError) as error:
-        raise CellError(f"{name}: this build has no such constant ({error})") from error
+    reason = ""
+    for candidate in (name, *other_names):
+        place, _, constant = candidate.rpartition(".")
+        try:
+            old = getattr(importlib.import_module(place), constant)
+        except (ImportError, AttributeError) as error:
+            reason = reason or str(error)
+            continue
+        break
+    else:
+        raise CellError(f"{name}: this build has no such constant ({reason})")
     for module_name, module in list(sys.modules.items()):
         if module_name.split(".")[0] in ROOMS and getattr(module, constant, None) is old:
             setattr(module, constant, value)
@@ -52,7 +60,7 @@
         return 1
     try:
         for name, value in told["constants"].items():
-            set_constant(name, value)
+            set_constant(name, value, told["other_names"].get(name, ()))
         head, rows = whole.play(plans.build(told["plan"], "plan"), told["seed"])
     except (CellError, plans.PlanError, whole.WholeError, whole.SpinError, whole.StallError) as error:
         print(str(error), file=sys.stderr)
--- a/hookport/emulator/experiment.py
+++ b/hookport/emulator/experiment.py
@@ -22,7 +22,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from hookport.emulator import days
+from hookport.emulator import days, renamed_constants
 from hookport.rehearsal import compare
 from hookport.rehearsal import plan as plans
 
@@ -140,13 +140,17 @@
 
 
 def constant_problems(factor: Factor, at: str) -> Iterator[tuple[str, str]]:
-    module, _, name = factor.constant.rpartition(".")
-    try:
-        value = getattr(importlib.import_module(module), name)
-    except (ImportError, AttributeError, ValueError):
+    for candidate in (factor.constant, *renamed_constants.other_names(factor.constant)):
+        module, _, name = candidate.rpartition(".")
+        try:
+            value = getattr(importlib.import_module(module), name)
+        except (ImportError, AttributeError, ValueError):
+            continue
+        break
+    else:
         yield (
             f"{at}.constant",
-            f"{factor.constant}: no such constant; write it like aniseshed.policy.HOLD_AIM",
+            f"{factor.constant}: no such constant; write it like aniseshed.policy.MAX_QUOTA_WAIT_SHARE",
         )
         return
     if not isinstance(value, int | float):
--- a/hookport/emulator/experiment_command.py
+++ b/hookport/emulator/experiment_command.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from hookport.emulator import cell, experiment
+from hookport.emulator import cell, experiment, renamed_constants
 from hookport.emulator.experiment import Experiment, ExperimentError, Run
 from hookport.emulator.spread import interruptible, spread
 from hookport.rehearsal import plan as plans
@@ -57,7 +57,9 @@
         table = experiment.plan_of(told, run.day, run.seed, run.cell)
     except plans.PlanError as error:
         return msgspec.structs.replace(done, error=str(error))
-    work = {"plan": table, "seed": run.seed, "constants": experiment.constants_of(told, run.cell)}
+    constants = experiment.constants_of(told, run.cell)
+    other_names = {name: renamed_constants.other_names(name) for name in constants}
+    work = {"plan": table, "seed": run.seed, "constants": constants, "other_names": other_names}
     with tempfile.NamedTemporaryFile(prefix="hookport-experiment-", suffix=".jsonl") as kept:
         words = [sys.executable, cell.__file__, str(build)]
         played = subprocess.run(
--- a/hookport/rehearsal/mutants.py
+++ b/hookport/rehearsal/mutants.py
@@ -298,7 +298,7 @@
 
 def forgets_ejection() -> None:
     """No mutant: the daemon without the ejection of failing servers, to see which way the score goes."""
-    policy.EJECT_FAILS = 1 << 30
+    policy.EJECT_FAILURES = 1 << 30
 
 
 MUTANTS: dict[str, Mutant] = {
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -4,9 +4,11 @@
 
 import csv
 import html.parser
+import importlib
 import io
 import json
 import random
+import re
 import shutil
 import subprocess
 import sys
@@ -17,9 +19,10 @@
 import pytest
 from helpers import TINY
 
-from hookport.emulator import cell, experiment, experiment_command
+from hookport.emulator import cell, experiment, experiment_command, renamed_constants
 from hookport.emulator import experiment_page as page
-from hookport.emulator.experiment import Experiment, ExperimentError, Run
+from hookport.emulator.experiment import Experiment, ExperimentError, Factor, Run
+from hookport.emulator.renamed_constants import RENAMED_CONSTANTS
 
 PLAN = TINY + 'mood = "heavy"\n'
 
@@ -37,7 +40,7 @@
 seeds = [1, 3]
 [[factor]]
 name = "hold"
-constant = "aniseshed.policy.HOLD_AIM"
+constant = "aniseshed.policy.MAX_QUOTA_WAIT_SHARE"
 levels = [LEVEL, 0.0]
 [[factor]]
 name = "retries"
@@ -51,7 +54,7 @@
 ) -> None:
     from aniseshed import policy
 
-    file = written(tmp_path, TWO.replace("LEVEL", str(policy.HOLD_AIM)))
+    file = written(tmp_path, TWO.replace("LEVEL", str(policy.MAX_QUOTA_WAIT_SHARE)))
     out = tmp_path / "out"
     assert experiment_command.main([str(file), "--out", str(out), "--jobs", "4"]) == experiment_command.PLAYED
     told = capsys.readouterr().out
@@ -59,7 +62,7 @@
     rows = list(csv.DictReader(io.StringIO((out / "runs.csv").read_text())))
     assert len(rows) == 9 and all(not row["error"] and float(row["score"]) > 0.3 for row in rows)
     by_level = {(row["hold"], row["retries"], row["seed"]): row["score"] for row in rows}
-    first = str(policy.HOLD_AIM)
+    first = str(policy.MAX_QUOTA_WAIT_SHARE)
     assert any(by_level[first, "2", seed] != by_level["0.0", "2", seed] for seed in "123")  # it was set
     assert any(by_level[first, "2", seed] != by_level[first, "0", seed] for seed in "123")
     html.parser.HTMLParser().feed(text := (out / "report.html").read_text())
@@ -113,7 +116,7 @@
         ("title = 'x", RETRIES, "not TOML"),
         ("days = [1, 2]", "", "factor[0]: write one of constant"),
         ("days = [1, 2]", "constant = 'aniseshed.policy.NO'", "no such constant"),
-        ("days = [1, 2]", "constant = 'aniseshed.policy.WORD'", "is no number"),
+        ("days = [1, 2]", "constant = 'aniseshed.policy.HEARTBEAT_PAYLOAD'", "is no number"),
         ("days = [1, 2]", "build = true", "no source tree"),
         ("days = [4, 2]", RETRIES, "from 4 down to 2"),
         ("plans = ['evning']", RETRIES, "evening?"),
@@ -194,6 +197,71 @@
         cell.set_constant("aniseshed.roll.NOTHING", 1)
 
 
+FORMER, PRESENT = "aniseshed.policy.HOLD_AIM", "aniseshed.policy.MAX_QUOTA_WAIT_SHARE"
+
+
+def constant(name: str) -> Any:
+    """The value of a constant in this build, None if there is no such constant."""
+    module, _, attribute = name.rpartition(".")
+    try:
+        return getattr(importlib.import_module(module), attribute, None)
+    except ImportError:
+        return None
+
+
+@pytest.mark.parametrize(("former", "present"), RENAMED_CONSTANTS.items())
+def test_a_former_name_of_a_constant_is_accepted(former: str, present: str) -> None:
+    """An experiment file written before a rename would be rejected, or would set another constant."""
+    assert isinstance(constant(present), int | float)
+    assert constant(former) is None, "the former name now means something else"
+    assert present not in RENAMED_CONSTANTS, "a table row must lead to the present name at once"
+    assert renamed_constants.other_names(former)[0] == present
+    assert former in renamed_constants.other_names(present)
+    factor = Factor(name="a", levels=(1, 2), constant=former)
+    assert list(experiment.constant_problems(factor, "factor[0]")) == []
+
+
+def test_a_constant_without_a_rename_has_no_other_names() -> None:
+    assert renamed_constants.other_names("aniseshed.policy.RETRY_RATIO") == []
+
+
+def test_a_former_name_sets_the_constant_of_this_build() -> None:
+    code = (
+        "import sys; sys.path.insert(0, sys.argv[1])\n"
+        "from aniseshed import policy\n"
+        "from hookport.emulator import cell\n"
+        f"cell.set_constant('{FORMER}', 77, ['{PRESENT}'])\n"
+        "print(policy.MAX_QUOTA_WAIT_SHARE, hasattr(policy, 'HOLD_AIM'))\n"
+    )
+    command = [sys.executable, "-c", code, str(experiment.ROOT)]
+    assert subprocess.run(command, capture_output=True, text=True, check=True).stdout == "77 False\n"
+    with pytest.raises(cell.CellError, match="policy.NO: this build has no such constant"):
+        cell.set_constant("aniseshed.policy.NO", 1, ["aniseshed.no_module.NO"])
+
+
+@pytest.mark.parametrize("name", [FORMER, PRESENT])
+def test_a_renamed_constant_is_set_in_builds_that_know_only_its_other_name(name: str, tmp_path: Path) -> None:
+    """The same run in this build and in an older one: either name sets the constant of both."""
+    older = tmp_path / "older"
+    for room in ("aniseshed", "hookport"):
+        shutil.copytree(experiment.ROOT / room, older / room)
+    policy = older / "aniseshed" / "policy.py"
+    policy.write_text(re.sub(r"\bMAX_QUOTA_WAIT_SHARE\b", "HOLD_AIM", policy.read_text()))
+    file = written(
+        tmp_path,
+        'title = "b"\nplans = ["TINY"]\nseeds = [1, 3]\ndesign = "grid"\n'
+        f'[[factor]]\nname = "b"\nbuild = true\nlevels = ["{experiment.ROOT}", "{older}"]\n'
+        f'[[factor]]\nname = "c"\nconstant = "{name}"\nlevels = [{constant(PRESENT)}, 0.0]\n',
+    )
+    runs, _ = experiment_command.carry_out(experiment.load(str(file)), tmp_path, 4)
+    assert len(runs) == 12 and not any(run.error for run in runs)
+    score = {run.key: run.score for run in runs}
+    assert all(score[(0, n), day, seed] == score[(1, n), day, seed] for (_, n), day, seed in score)
+    assert any(score[(1, 0), day, seed] != score[(1, 1), day, seed] for _, day, seed in score)  # it was set
+    head = json.loads((tmp_path / "runs.jsonl").read_bytes().splitlines()[0])
+    assert head["factor"][1]["constant"] == name, "the experiment is kept as it was written"
+
+
 def test_a_run_that_ends_in_an_error_keeps_its_line_and_the_others_go_on(tmp_path: Path) -> None:
     told = experiment.load(str(written(tmp_path, TWO.replace("LEVEL", "0.6"))))
     (tmp_path / "tiny.toml").write_text(PLAN.replace("[limiters]", "[limiters]\nkept_list = true"))
