--- a/aniseshed/interface.py
+++ b/aniseshed/interface.py
@@ -1,7 +1,7 @@
-"""The words between a limiter and its decisions: settings, events and actions.
+"""The data types between a limiter process and its decision logic: settings, events and actions.
 
-Nothing here decides anything.  Times are integer nanoseconds, a server is an opaque byte string,
-classes, plans, zones and kinds are positions in the lists of the settings.
+The module holds plain records without logic. Times are integer nanoseconds, a server is identified by an
+opaque byte string, and classes, plans, zones and kinds are indexes into the lists of the settings.
 """
 
 from __future__ import annotations
@@ -15,7 +15,9 @@
 
 
 class Idempotency(Enum):
-    """Whether a request that may have run can be sent again."""
+    """Whether a request that may have been executed can be sent again.
+
+    SAFE requests always can, KEYED ones while servers drop duplicates by key, UNSAFE ones never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -23,7 +25,7 @@
 
 
 class DedupScope(Enum):
-    """Which servers drop a repeat of a keyed request."""
+    """Which servers recognise and drop a duplicate of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -31,7 +33,7 @@
 
 
 class Health(IntEnum):
-    """What the server list says of a server."""
+    """State of a server according to the server list."""
 
     GONE = 0
     READY = 1
@@ -39,7 +41,10 @@
 
 
 class ListKind(IntEnum):
-    """How a server list is to be read; FAILED carries no entries."""
+    """Kind of a server list.
+
+    DELTA holds the changed servers only, FULL and CACHED hold all of them; CACHED was read from a local copy.
+    FAILED means that discovery failed, and has no entries."""
 
     DELTA = 0
     FULL = 1
@@ -48,26 +53,30 @@
 
 
 class Trust(IntEnum):
-    """How far a server list is to be believed of one server; what decides it is not in this package.
+    """Confidence that the listed server is still the one at its address; set outside of this package.
 
-    Below TOLD a server gets one attempt at a time from this limiter, until it has proved itself."""
+    Below TOLD a server gets one attempt at a time from this limiter until it has answered and its trust is
+    raised."""
 
-    NONE = 0  # nothing is sent there
-    SAFE = 1  # requests that are safe to repeat
-    CAREFUL = 2  # any request
-    TOLD = 3  # as told by discovery, or as good
+    NONE = 0  # No requests are sent to the server.
+    SAFE = 1  # Only requests that are safe to repeat are sent.
+    CAREFUL = 2  # Any request may be sent.
+    TOLD = 3  # Discovery confirmed the server, or equally good evidence did.
 
 
 class RequestMode(IntEnum):
-    """What a request wants: to be sent on, or a verdict on its quota."""
+    """Whether a request is forwarded to a server or only checked against its quota."""
 
     FORWARD = 0
-    TAKE = 1  # the units are taken, nothing is sent
-    PEEK = 2  # what a take would come to; nothing is taken
+    TAKE = 1  # Takes the units from the quota without sending anything.
+    PEEK = 2  # Reports what TAKE would answer without taking units.
 
 
 class Outcome(IntEnum):
-    """How an attempt, a probe or a counter call ended."""
+    """How an attempt, a probe or a counter call ended.
+
+    FULL is a rejection by a server or the counter that had no capacity, NOT_SENT means that nothing was
+    sent."""
 
     OK = 1
     ERROR = 2
@@ -81,7 +90,10 @@
 
 @dataclass(slots=True, frozen=True)
 class TrafficClass:
-    """One class of requests."""
+    """One class of requests.
+
+    ``target_ns`` is the latency within which an answer has its full ``value``. Between it and ``deadline_ns``
+    an answer is worth ``late_value``. Servers drop duplicates of a keyed request for ``dedup_window_ns``."""
 
     target_ns: int
     deadline_ns: int
@@ -91,14 +103,18 @@
     dedup_scope: DedupScope
     dedup_window_ns: int
     stream: bool
-    target_stretch: (
-        float  # by the request's own work, which nobody knows before its answer: the plain aim decides
-    )
+    # The target is extended by the request's own work, which is unknown before the answer. Decisions use the
+    # plain target.
+    target_stretch: float
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """One plan's quota, which holds for each customer over all limiters together."""
+    """One plan's quota, which applies to each customer over all limiters together.
+
+    Rates are in units per second, bursts in units. Exceeding the ceiling is never allowed. ``price`` scales
+    the value of a request. A request beyond the quota earns ``over_quota_value`` and costs
+    ``over_quota_cost``."""
 
     rate: float
     burst: float
@@ -112,7 +128,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a limiter is told at its start."""
+    """Configuration of a limiter, fixed for its lifetime.
+
+    Limits, capabilities and server behaviour of the deployment: a server that has just started has
+    ``cold_capacity_share`` of its capacity and reaches all of it within ``warm_up_ns``. It crashes if it gets
+    ``overload_multiple`` times its present capacity over ``overload_ns``."""
 
     index: int
     limiters: int
@@ -129,7 +149,7 @@
     may_cancel: bool
     may_duplicate: bool
     may_send_retry_after: bool
-    may_message_peers: bool  # datagrams between limiters
+    may_message_peers: bool  # Limiters may exchange datagrams.
     max_retry_after_ns: int
     connect_timeout_ns: int
     subscribe: bool
@@ -144,10 +164,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerEntry:
-    """One line of a server list; born_ns is 0 for a start long past.
+    """One entry of a server list; ``started_ns`` is 0 if the server started long ago.
 
-    ``presumed_ns`` is a start that nobody told of and nobody can rule out, 0 if there is none: from then on
-    the server gets one attempt at a time, and one more for each answer, until a list says otherwise."""
+    ``presumed_start_ns`` is the time of a possible restart that no list has reported but that cannot be ruled
+    out, 0 if there is none. From then on the server gets one attempt in flight, and one more for each answer,
+    until a list says otherwise."""
 
     server: bytes
     zone: int
@@ -162,7 +183,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerList:
-    """What discovery says, or what is believed in its absence."""
+    """A server list from discovery, or the best known list while discovery is unavailable."""
 
     kind: ListKind
     entries: tuple[ServerEntry, ...]
@@ -170,7 +191,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client's try; this limiter now owes it one final answer within patience_ns."""
+    """A client's request, which must get one final answer within ``timeout_ns``.
+
+    The customer's requests arrive at ``set_size`` limiters, which begin at index ``set_start``. ``is_retry``
+    is set if the client sends the request again."""
 
     request_id: int
     traffic_class: int
@@ -186,7 +210,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StreamBegun:
-    """The answer has begun to flow and belongs to the client."""
+    """The response stream has begun, so no other attempt can answer the client."""
 
     request_id: int
     server: bytes
@@ -196,7 +220,10 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """The one end of an attempt; concluded says that the request needs no answer any more."""
+    """End of an attempt, reported exactly once.
+
+    ``concluded`` means that the request needs no answer any more. ``meter`` and ``report`` are the server's
+    usage meter and load report, ``settled_units`` the units actually used, or 0."""
 
     request_id: int
     attempt: int
@@ -211,7 +238,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UnitsReturned:
-    """Units of a customer that a take was granted and that nobody used."""
+    """Units that were granted to a customer by a take and returned unused."""
 
     customer: int
     units: float
@@ -219,21 +246,21 @@
 
 @dataclass(slots=True, frozen=True)
 class HungUp:
-    """The client has gone; nothing is owed."""
+    """The client disconnected and needs no answer any more."""
 
     request_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer set earlier has run down."""
+    """A timer that was set by SetTimer expired."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class Probed:
-    """The end of a probe."""
+    """Result of a probe."""
 
     server: bytes
     outcome: Outcome
@@ -243,7 +270,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """Bytes from another limiter."""
+    """A datagram from another limiter."""
 
     sender: int
     payload: bytes
@@ -251,10 +278,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Counted:
-    """How a counter call ended; total holds with OK only.
+    """Result of a counter call; ``total`` is valid with OK only.
 
-    A call that ended as TIMEOUT may end once more, when its answer comes late.  ``call`` is that of the
-    Count; ``total`` is in units of the quota, with marks (see marks.py)."""
+    A call that ended as TIMEOUT may be reported once more when its answer comes late. ``call_id`` is that of
+    the Count action; ``total`` is in units of the quota and contains the limiters' marks (see marks.py)."""
 
     key: int
     outcome: Outcome
@@ -279,7 +306,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Start an attempt; until_ns 0 leaves it to the client's patience."""
+    """Start an attempt; with ``deadline_ns`` 0 only the timeout of the request limits it."""
 
     request_id: int
     server: bytes
@@ -288,7 +315,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: it never ran or a repeat is harmless; retry_after_ns 0 gives no advice."""
+    """Final answer: the request was not executed, or repeating it does no harm.
+
+    ``retry_after_ns`` advises the client when to try again; 0 gives no advice."""
 
     request_id: int
     retry_after_ns: int
@@ -296,10 +325,10 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaAnswer:
-    """Final answer to a take that was granted, or to a peek.
+    """Final answer to a granted take, or to a peek.
 
-    ``left`` are the units that the whole quota still holds by this limiter's account, ``wait_ns`` is when to
-    come back, 0 if it fits now."""
+    ``remaining_units`` is this limiter's estimate of what the whole quota still holds. ``wait_ns`` is the
+    time until the request would be allowed, 0 if it is allowed now."""
 
     request_id: int
     allowed: bool
@@ -309,14 +338,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer that says nothing of what has run."""
+    """Final answer that leaves open whether the request was executed."""
 
     request_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Wait no longer for one attempt."""
+    """Cancel one attempt."""
 
     request_id: int
     attempt: int
@@ -324,7 +353,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a TimerFired after delay_ns."""
+    """Request a TimerFired event after ``delay_ns``."""
 
     delay_ns: int
     token: int
@@ -332,21 +361,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Look whether a server answers."""
+    """Probe whether a server answers."""
 
     server: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdle:
-    """Close idle connections to a server."""
+    """Close the idle connections to a server."""
 
     server: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class Tell:
-    """Send bytes to one limiter, or to all when peer is None."""
+    """Send a datagram to one limiter, or to all of them if ``peer`` is None."""
 
     peer: int | None
     payload: bytes
@@ -354,9 +383,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Count:
-    """Add amount to a shared number, which lives lifetime_ns from its first call.
+    """Add ``amount`` to the shared counter ``key``, which expires ``lifetime_ns`` after its first call.
 
-    ``call`` numbers the calls of one limiter from 1, in the order in which they are made."""
+    ``call_id`` numbers the calls of a limiter from 1 in the order in which they are made."""
 
     key: int
     amount: float
@@ -366,16 +395,19 @@
 
 @dataclass(slots=True, frozen=True)
 class CounterReport:
-    """What operators are told of the counter: its state (see ``weather.py``), ``since_ns`` on the module's
-    clock, the bound in units beyond one customer's quota since the change, by position of the plan."""
+    """State of the shared counter, reported to operators (see ``weather.py``).
+
+    The state began at ``since_ns`` on the limiter's clock.
+    ``bound_units`` bounds, by plan index, the units beyond one customer's quota that may pass after the
+    change of state."""
 
     state: State
     since_ns: int
     bound_units: tuple[float, ...]
-    unreachable: tuple[int, ...]  # indexes of the limiters on another side
+    unreachable: tuple[int, ...]  # indexes of limiters on another side of a counter partition
 
     def to_log_line(self) -> str:
-        """The report as one line."""
+        """The report as one log line."""
         bounds = " ".join(f"{units:.1f}" for units in self.bound_units)
         away = ",".join(map(str, self.unreachable)) or "none"
         return f"counter state={self.state.value} since_ns={self.since_ns} bound_units={bounds} away={away}"
@@ -383,21 +415,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for the operators."""
+    """Write a log line for operators."""
 
     text: str
 
 
 @dataclass(slots=True, frozen=True)
 class Watch:
-    """Subscribe to changes of the server list, or stop."""
+    """Subscribe to changes of the server list, or unsubscribe."""
 
     active: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Fetch:
-    """Ask once for the whole server list."""
+    """Request the full server list once."""
 
 
 Action = (
