--- a/aniseshed/__init__.py
+++ b/aniseshed/__init__.py
@@ -1,1 +1,1 @@
-"""aniseshed: the decisions of a quota-keeping gateway, as a library."""
+"""aniseshed: the decision logic of a quota-enforcing gateway, as a library."""
--- a/aniseshed/state.py
+++ b/aniseshed/state.py
@@ -1,4 +1,4 @@
-"""What a limiter remembers; plain records, every decision about them is in policy.py."""
+"""Records of a limiter's state. They are plain data; the decisions about them are made in policy.py."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class TimeAverage:
-    """A number that goes up and down, and its mean over about span_ns."""
+    """A level and its exponentially weighted mean over time, with the time constant ``window_ns``."""
 
     window_ns: int
     current: int = 0
@@ -25,30 +25,33 @@
         self.updated_ns = now_ns
         return self.average
 
-    def add(self, now_ns: int, by: int) -> None:
+    def add(self, now_ns: int, change: int) -> None:
         self.mean(now_ns)
-        self.current += by
+        self.current += change
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """What this limiter has seen of one server."""
+    """What this limiter knows about one server.
+
+    ``slowness`` is the running mean of its latencies relative to the mean of all servers. After an ejection
+    it is ``on_probation`` until it answers, and gets one attempt at a time."""
 
     entry: api.ServerEntry
     started_ns: int
     in_flight: dict[tuple[int, int], Attempt] = field(default_factory=dict)
     slowness: float = 1.0
     consecutive_failures: int = 0
-    answers: int = 0  # since its present life is presumed to have begun
+    answers: int = 0  # since its last presumed start
     ejected_until_ns: int = 0
     next_attempt_ns: int = 0
-    full_until_ns: dict[tuple[int, int], int] = field(default_factory=dict)  # by plan and class
+    full_until_ns: dict[tuple[int, int], int] = field(default_factory=dict)  # by plan index and class index
     on_probation: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt, kept until its end is told, whether or not its request still lives."""
+    """One attempt, kept until its end is reported, even if its request has been answered before."""
 
     server: Server
     account: Account
@@ -62,7 +65,10 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that is owed an answer."""
+    """A request without a final answer yet.
+
+    ``target_at_ns`` is the time until which an answer has its full value. ``value_rank`` is the request's
+    value relative to the running mean of all requests, at most 1."""
 
     request: api.Request
     traffic_class: api.TrafficClass
@@ -70,18 +76,18 @@
     units: float
     account: Account
     target_at_ns: int
-    value_rank: float = 1.0  # of its worth among what is asked, 1 from the mean upwards
+    value_rank: float = 1.0
     awaiting_counter: bool = False
-    charged_units: float = 0.0  # units taken for it from the quota; they go back if nothing is ever sent
-    charged_to_slice: bool = False  # and from the slice
+    charged_units: float = 0.0  # taken from the quota; refunded if no attempt is ever sent
+    charged_to_slice: bool = False  # They were also taken from this limiter's slice.
     attempts: list[Attempt] = field(default_factory=list)
 
 
 def apply_server_list(servers: dict[bytes, Server], event: api.ServerList) -> None:
-    """Keep what is known of the servers in step with what discovery says."""
+    """Apply a server list: remove the servers that are gone, add new ones and update the others."""
     if event.kind in (api.ListKind.FULL, api.ListKind.CACHED):
-        told = {entry.server for entry in event.entries}
-        for key in [key for key in servers if key not in told]:
+        listed = {entry.server for entry in event.entries}
+        for key in [key for key in servers if key not in listed]:
             del servers[key]
     for entry in event.entries:
         server = servers.get(entry.server)
