--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings and a small world for the tests: everything goes through the public interface."""
+"""Settings for tests and a harness that drives one limiter through its public interface."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 SECOND = 1_000_000_000
 MS = 1_000_000
-FIRST_GROUPS = 64  # of limiters in the roll: more than any test has
+MAX_GROUPS = 64  # more groups of limiters than any test has
 TINY = """
 title = "a short one"
 length_s = 3.0
@@ -22,7 +22,7 @@
 name = "one"
 plan = "premium"
 customers = 2
-"""  # a plan of the rehearsal kit: two limiters, two customers, three seconds
+"""  # a rehearsal plan with two limiters and two customers for three seconds
 
 SAFE = api.TrafficClass(
     target_ns=SECOND,
@@ -83,7 +83,7 @@
 
 
 class Bench:
-    """Feeds one limiter and remembers what it did; time moves only when told."""
+    """Passes events to one limiter and records its actions; time advances only on request."""
 
     def __init__(self, settings: api.Settings = SETTINGS, servers: int = 20, seed: int = 1) -> None:
         self.limiter = Limiter(settings, seed)
@@ -109,10 +109,10 @@
             elif isinstance(action, api.SetTimer):
                 self.timers.append((self.now_ns + action.delay_ns, action.token))
             elif isinstance(action, api.Refuse | api.Fail | api.QuotaAnswer):
-                assert action.request_id not in self.final_answers, "two final answers"
+                assert action.request_id not in self.final_answers, "two final answers to one request"
                 self.final_answers[action.request_id] = action
-            elif isinstance(action, api.Count) and action.key & TOP_CUSTOMER > TOP_CUSTOMER - FIRST_GROUPS:
-                self.heartbeats.append(action)  # of the roll
+            elif isinstance(action, api.Count) and action.key & TOP_CUSTOMER > TOP_CUSTOMER - MAX_GROUPS:
+                self.heartbeats.append(action)
             elif isinstance(action, api.Count):
                 self.counter_calls.append(action)
                 self.pending_calls.append(action)
@@ -120,7 +120,9 @@
                 self.peer_messages.append(action)
         return actions
 
-    def request(self, customer: int = 1, class_index: int = 0, units: float = 1.0, **more: object) -> int:
+    def request(
+        self, customer: int = 1, class_index: int = 0, units: float = 1.0, **overrides: object
+    ) -> int:
         fields: dict[str, object] = dict(
             request_id=self.next_request_id,
             traffic_class=class_index,
@@ -132,7 +134,7 @@
             set_start=0.0,
             is_retry=False,
         )
-        fields.update(more)
+        fields.update(overrides)
         self.next_request_id += 1
         self.handle(api.Request(**fields))  # type: ignore[arg-type]
         return self.next_request_id - 1
@@ -154,24 +156,24 @@
         )
 
     def answer_call(self, total: float, outcome: api.Outcome = api.Outcome.OK) -> list[api.Action]:
-        """Answer the oldest call that is still out."""
+        """Answer the oldest pending counter call."""
         call = self.pending_calls.pop(0)
         return self.handle(api.Counted(call.key, outcome, total, 2 * MS, call.call_id))
 
     def answer_all_calls(self) -> None:
-        """Answer all calls for customer 1 as if nobody else spent."""
+        """Answer all counter calls for customer 1 as if no other limiter spent."""
         while self.pending_calls:
             self.answer_call(sum(c.amount for c in self.counter_calls))
 
-    def advance(self, by_ns: int) -> None:
-        """Move on, firing what falls due in order."""
-        end = self.now_ns + by_ns
-        while due := sorted(t for t in self.timers if t[0] <= end):
-            at, token = due[0]
-            self.timers.remove((at, token))
-            self.now_ns = max(self.now_ns, at)
+    def advance(self, duration_ns: int) -> None:
+        """Advance the clock and fire the timers that expire, in order."""
+        end_ns = self.now_ns + duration_ns
+        while due := sorted(t for t in self.timers if t[0] <= end_ns):
+            due_ns, token = due[0]
+            self.timers.remove((due_ns, token))
+            self.now_ns = max(self.now_ns, due_ns)
             self.handle(api.TimerFired(token))
-        self.now_ns = end
+        self.now_ns = end_ns
 
     def was_sent(self, request_id: int) -> bool:
         return request_id in self.attempts
