--- a/aniseshed/interface.py
+++ b/aniseshed/interface.py
@@ -1,7 +1,7 @@
-"""The words between a limiter and its decisions: settings, events and actions.
+"""The data types between a limiter process and its decision logic: settings, events and actions.
 
-Nothing here decides anything.  Times are integer nanoseconds, a server is an opaque byte string,
-classes, plans, zones and kinds are positions in the lists of the settings.
+The module holds plain records without logic. Times are integer nanoseconds, a server is identified by an
+opaque byte string, and classes, plans, zones and kinds are indexes into the lists of the settings.
 """
 
 from __future__ import annotations
@@ -14,16 +14,18 @@
     from aniseshed.weather import State
 
 
-class Repeat(Enum):
-    """Whether a request that may have run can be sent again."""
+class Idempotency(Enum):
+    """Whether a request that may have been executed can be sent again.
+
+    SAFE requests always can, KEYED ones while servers drop duplicates by key, UNSAFE ones never."""
 
     SAFE = "safe"
     KEYED = "keyed"
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
-    """Which servers drop a repeat of a keyed request."""
+class DedupScope(Enum):
+    """Which servers recognise and drop a duplicate of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -31,7 +33,7 @@
 
 
 class Health(IntEnum):
-    """What the server list says of a server."""
+    """State of a server according to the server list."""
 
     GONE = 0
     READY = 1
@@ -39,7 +41,10 @@
 
 
 class ListKind(IntEnum):
-    """How a server list is to be read; FAILED carries no entries."""
+    """Kind of a server list.
+
+    DELTA holds the changed servers only, FULL and CACHED hold all of them; CACHED was read from a local copy.
+    FAILED means that discovery failed, and has no entries."""
 
     DELTA = 0
     FULL = 1
@@ -48,26 +53,30 @@
 
 
 class Trust(IntEnum):
-    """How far a server list is to be believed of one server; what decides it is not in this package.
+    """Confidence that the listed server is still the one at its address; set outside of this package.
 
-    Below TOLD a server gets one attempt at a time from this limiter, until it has proved itself."""
+    Below TOLD a server gets one attempt at a time from this limiter until it has answered and its trust is
+    raised."""
 
-    NONE = 0  # nothing is sent there
-    SAFE = 1  # requests that are safe to repeat
-    CAREFUL = 2  # any request
-    TOLD = 3  # as told by discovery, or as good
+    NONE = 0  # No requests are sent to the server.
+    SAFE = 1  # Only requests that are safe to repeat are sent.
+    CAREFUL = 2  # Any request may be sent.
+    TOLD = 3  # Discovery confirmed the server, or equally good evidence did.
 
 
-class Ask(IntEnum):
-    """What a request wants: to be sent on, or a verdict on its quota."""
+class RequestMode(IntEnum):
+    """Whether a request is forwarded to a server or only checked against its quota."""
 
-    SEND = 0
-    TAKE = 1  # the units are taken, nothing is sent
-    PEEK = 2  # what a take would come to; nothing is taken
+    FORWARD = 0
+    TAKE = 1  # Takes the units from the quota without sending anything.
+    PEEK = 2  # Reports what TAKE would answer without taking units.
 
 
 class Outcome(IntEnum):
-    """How an attempt, a probe or a counter call ended."""
+    """How an attempt, a probe or a counter call ended.
+
+    FULL is a rejection by a server or the counter that had no capacity, NOT_SENT means that nothing was
+    sent."""
 
     OK = 1
     ERROR = 2
@@ -76,43 +85,54 @@
     CONNECT_FAILED = 5
     RESET = 6
     CANCELLED = 7
-    MOOT = 8
+    NOT_SENT = 8
 
 
 @dataclass(slots=True, frozen=True)
 class TrafficClass:
-    """One class of requests."""
+    """One class of requests.
 
-    aim_ns: int
+    ``target_ns`` is the latency within which an answer has its full ``value``. Between it and ``deadline_ns``
+    an answer is worth ``late_value``. Servers drop duplicates of a keyed request for ``dedup_window_ns``."""
+
+    target_ns: int
     deadline_ns: int
-    worth: float
-    late_worth: float
-    repeat: Repeat
-    group: Group
-    window_ns: int
+    value: float
+    late_value: float
+    idempotency: Idempotency
+    dedup_scope: DedupScope
+    dedup_window_ns: int
     stream: bool
-    aim_stretch: (
-        float  # by the request's own work, which nobody knows before its answer: the plain aim decides
-    )
+    # The target is extended by the request's own work, which is unknown before the answer. Decisions use the
+    # plain target.
+    target_stretch: float
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """One plan's quota, which holds for each customer over all limiters together."""
+    """One plan's quota, which applies to each customer over all limiters together.
+
+    Rates are in units per second, bursts in units. Exceeding the ceiling is never allowed. ``price`` scales
+    the value of a request. A request beyond the quota earns ``over_quota_value`` and costs
+    ``over_quota_cost``."""
 
     rate: float
     burst: float
-    max_open: int
+    max_in_flight: int
     ceiling_rate: float
     ceiling_burst: float
     price: float
-    over_worth: float
-    over_cost: float
+    over_quota_value: float
+    over_quota_cost: float
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a limiter is told at its start."""
+    """Configuration of a limiter, fixed for its lifetime.
+
+    Limits, capabilities and server behaviour of the deployment: a server that has just started has
+    ``cold_capacity_share`` of its capacity and reaches all of it within ``warm_up_ns``. It crashes if it gets
+    ``overload_multiple`` times its present capacity over ``overload_ns``."""
 
     index: int
     limiters: int
@@ -120,34 +140,35 @@
     classes: tuple[TrafficClass, ...]
     plans: tuple[Plan, ...]
     largest_units: int
-    settles: bool
+    settles_usage: bool
     has_counter: bool
     counter_timeout_ns: int
     max_attempts: int
-    max_held: int
+    max_pending: int
     may_probe: bool
     may_cancel: bool
     may_duplicate: bool
-    may_advise: bool
-    may_tell: bool  # datagrams between limiters
+    may_send_retry_after: bool
+    may_message_peers: bool  # Limiters may exchange datagrams.
     max_retry_after_ns: int
     connect_timeout_ns: int
     subscribe: bool
-    ask_within_ns: int
+    resubscribe_within_ns: int
     drain_grace_ns: int
-    cold_from: float
-    cold_ns: int
-    fall_multiple: float
-    fall_ns: int
+    cold_capacity_share: float
+    warm_up_ns: int
+    overload_multiple: float
+    overload_ns: int
     report_fields: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class ServerEntry:
-    """One line of a server list; born_ns is 0 for a start long past.
+    """One entry of a server list; ``started_ns`` is 0 if the server started long ago.
 
-    ``presumed_ns`` is a start that nobody told of and nobody can rule out, 0 if there is none: from then on
-    the server gets one attempt at a time, and one more for each answer, until a list says otherwise."""
+    ``presumed_start_ns`` is the time of a possible restart that no list has reported but that cannot be ruled
+    out, 0 if there is none. From then on the server gets one attempt in flight, and one more for each answer,
+    until a list says otherwise."""
 
     server: bytes
     zone: int
@@ -155,14 +176,14 @@
     cell: int
     health: Health
     weight: float
-    born_ns: int
+    started_ns: int
     trust: Trust = Trust.TOLD
-    presumed_ns: int = 0
+    presumed_start_ns: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class ServerList:
-    """What discovery says, or what is believed in its absence."""
+    """A server list from discovery, or the best known list while discovery is unavailable."""
 
     kind: ListKind
     entries: tuple[ServerEntry, ...]
@@ -170,23 +191,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client's try; this limiter now owes it one final answer within patience_ns."""
+    """A client's request, which must get one final answer within ``timeout_ns``.
+
+    The customer's requests arrive at ``set_size`` limiters, which begin at index ``set_start``. ``is_retry``
+    is set if the client sends the request again."""
 
     request_id: int
     traffic_class: int
     plan: int
     customer: int
-    patience_ns: int
+    timeout_ns: int
     units: float
     set_size: float
     set_start: float
-    repeated: bool
-    ask: Ask = Ask.SEND
+    is_retry: bool
+    mode: RequestMode = RequestMode.FORWARD
 
 
 @dataclass(slots=True, frozen=True)
 class StreamBegun:
-    """The answer has begun to flow and belongs to the client."""
+    """The response stream has begun, so no other attempt can answer the client."""
 
     request_id: int
     server: bytes
@@ -196,7 +220,10 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """The one end of an attempt; concluded says that the request needs no answer any more."""
+    """End of an attempt, reported exactly once.
+
+    ``concluded`` means that the request needs no answer any more. ``meter`` and ``report`` are the server's
+    usage meter and load report, ``settled_units`` the units actually used, or 0."""
 
     request_id: int
     attempt: int
@@ -210,8 +237,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class GivenBack:
-    """Units of a customer that a take was granted and that nobody used."""
+class UnitsReturned:
+    """Units that were granted to a customer by a take and returned unused."""
 
     customer: int
     units: float
@@ -219,21 +246,21 @@
 
 @dataclass(slots=True, frozen=True)
 class HungUp:
-    """The client has gone; nothing is owed."""
+    """The client disconnected and needs no answer any more."""
 
     request_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer set earlier has run down."""
+    """A timer that was set by SetTimer expired."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class Probed:
-    """The end of a probe."""
+    """Result of a probe."""
 
     server: bytes
     outcome: Outcome
@@ -243,7 +270,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """Bytes from another limiter."""
+    """A datagram from another limiter."""
 
     sender: int
     payload: bytes
@@ -251,22 +278,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Counted:
-    """How a counter call ended; total holds with OK only.
+    """Result of a counter call; ``total`` is valid with OK only.
 
-    A call that ended as TIMEOUT may end once more, when its answer comes late.  ``call`` is that of the
-    Count; ``total`` is in units of the quota, with marks (see marks.py)."""
+    A call that ended as TIMEOUT may be reported once more when its answer comes late. ``call_id`` is that of
+    the Count action; ``total`` is in units of the quota and contains the limiters' marks (see marks.py)."""
 
-    name: int
+    key: int
     outcome: Outcome
     total: float
     elapsed_ns: int
-    call: int = 0
+    call_id: int = 0
 
 
 Event = (
     ServerList
     | Request
-    | GivenBack
+    | UnitsReturned
     | StreamBegun
     | AttemptEnded
     | HungUp
@@ -279,44 +306,46 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Start an attempt; until_ns 0 leaves it to the client's patience."""
+    """Start an attempt; with ``deadline_ns`` 0 only the timeout of the request limits it."""
 
     request_id: int
     server: bytes
-    until_ns: int
+    deadline_ns: int
 
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: it never ran or a repeat is harmless; retry_after_ns 0 gives no advice."""
+    """Final answer: the request was not executed, or repeating it does no harm.
+
+    ``retry_after_ns`` advises the client when to try again; 0 gives no advice."""
 
     request_id: int
     retry_after_ns: int
 
 
 @dataclass(slots=True, frozen=True)
-class Verdict:
-    """Final answer to a take that was granted, or to a peek.
+class QuotaAnswer:
+    """Final answer to a granted take, or to a peek.
 
-    ``left`` are the units that the whole quota still holds by this limiter's account, ``wait_ns`` is when to
-    come back, 0 if it fits now."""
+    ``remaining_units`` is this limiter's estimate of what the whole quota still holds. ``wait_ns`` is the
+    time until the request would be allowed, 0 if it is allowed now."""
 
     request_id: int
-    fits: bool
-    left: float
+    allowed: bool
+    remaining_units: float
     wait_ns: int
 
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer that says nothing of what has run."""
+    """Final answer that leaves open whether the request was executed."""
 
     request_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Wait no longer for one attempt."""
+    """Cancel one attempt."""
 
     request_id: int
     attempt: int
@@ -324,7 +353,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a TimerFired after delay_ns."""
+    """Request a TimerFired event after ``delay_ns``."""
 
     delay_ns: int
     token: int
@@ -332,21 +361,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Look whether a server answers."""
+    """Probe whether a server answers."""
 
     server: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdle:
-    """Close idle connections to a server."""
+    """Close the idle connections to a server."""
 
     server: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class Tell:
-    """Send bytes to one limiter, or to all when peer is None."""
+    """Send a datagram to one limiter, or to all of them if ``peer`` is None."""
 
     peer: int | None
     payload: bytes
@@ -354,56 +383,59 @@
 
 @dataclass(slots=True, frozen=True)
 class Count:
-    """Add amount to a shared number, which lives lifetime_ns from its first call.
+    """Add ``amount`` to the shared counter ``key``, which expires ``lifetime_ns`` after its first call.
 
-    ``call`` numbers the calls of one limiter from 1, in the order in which they are made."""
+    ``call_id`` numbers the calls of a limiter from 1 in the order in which they are made."""
 
-    name: int
+    key: int
     amount: float
     lifetime_ns: int
-    call: int = 0
+    call_id: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Report:
-    """What operators are told of the counter: its state (see ``weather.py``), ``since_ns`` on the module's
-    clock, the bound in units beyond one customer's quota since the change, by position of the plan."""
+class CounterReport:
+    """State of the shared counter, reported to operators (see ``weather.py``).
+
+    The state began at ``since_ns`` on the limiter's clock.
+    ``bound_units`` bounds, by plan index, the units beyond one customer's quota that may pass after the
+    change of state."""
 
     state: State
     since_ns: int
     bound_units: tuple[float, ...]
-    away: tuple[int, ...]  # indexes of the limiters on another side
+    unreachable: tuple[int, ...]  # indexes of limiters on another side of a counter partition
 
-    def line(self) -> str:
-        """The report as one line."""
+    def to_log_line(self) -> str:
+        """The report as one log line."""
         bounds = " ".join(f"{units:.1f}" for units in self.bound_units)
-        away = ",".join(map(str, self.away)) or "none"
+        away = ",".join(map(str, self.unreachable)) or "none"
         return f"counter state={self.state.value} since_ns={self.since_ns} bound_units={bounds} away={away}"
 
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for the operators."""
+    """Write a log line for operators."""
 
     text: str
 
 
 @dataclass(slots=True, frozen=True)
 class Watch:
-    """Subscribe to changes of the server list, or stop."""
+    """Subscribe to changes of the server list, or unsubscribe."""
 
     active: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Fetch:
-    """Ask once for the whole server list."""
+    """Request the full server list once."""
 
 
 Action = (
     Send
     | Refuse
-    | Verdict
+    | QuotaAnswer
     | Fail
     | Cancel
     | SetTimer
--- a/hookport/config.py
+++ b/hookport/config.py
@@ -115,7 +115,7 @@
 
 def peer_addresses(document: dict[str, Any], settings: api.Settings) -> dict[str, Any]:
     """Read the addresses for datagrams between limiters; empty unless the settings allow them."""
-    if not settings.may_tell or not document.get("peer_listen"):
+    if not settings.may_message_peers or not document.get("peer_listen"):
         return {}
     peers = tuple(address(peer, f"peers[{n}]") for n, peer in enumerate(document.get("peers", ())))
     for n, peer in enumerate(peers):
--- a/hookport/membership/kept.py
+++ b/hookport/membership/kept.py
@@ -58,7 +58,7 @@
         "cell": entry.cell,
         "lifecycle": STATES[entry.health],
         "weight": entry.weight,
-        "startedAtMs": entry.born_ns // 1_000_000,
+        "startedAtMs": entry.started_ns // 1_000_000,
         "generation": held.generation,
         "toldNs": held.confirmed_ns,
         "heardNs": held.answered_ns,
--- a/hookport/resp.py
+++ b/hookport/resp.py
@@ -11,7 +11,7 @@
 
 import hiredis
 
-from aniseshed.interface import Ask, Repeat, Request, Settings
+from aniseshed.interface import Idempotency, Request, RequestMode, Settings
 from hookport.config import Names
 
 MAX_VALUE_BYTES = 64 * 1024
@@ -168,7 +168,7 @@
     def request_id(self) -> bytes:
         return self.arguments[2]
 
-    def to_event(self, request_id: int, patience_ns: int, ask: Ask = Ask.SEND) -> Request:
+    def to_event(self, request_id: int, patience_ns: int, ask: RequestMode = RequestMode.FORWARD) -> Request:
         """The Request event for the limiter; ``request_id`` is the daemon's number, not the client's id."""
         fields = self.fields
         return Request(
@@ -176,12 +176,12 @@
             traffic_class=fields.class_index,
             plan=fields.plan,
             customer=self.customer,
-            patience_ns=patience_ns,
+            timeout_ns=patience_ns,
             units=fields.units,
             set_size=fields.spread,
             set_start=fields.first,
-            repeated=fields.repeated,
-            ask=ask,
+            is_retry=fields.repeated,
+            mode=ask,
         )
 
     def forward(self, wait_ms: int) -> bytes:
@@ -280,7 +280,7 @@
         plan = self.names.plans.get(fields.get(b"t", b""))
         if class_index is None or plan is None:
             raise CommandError("unknown class or plan")
-        if submit == (self.classes[class_index].repeat is Repeat.SAFE):
+        if submit == (self.classes[class_index].idempotency is Idempotency.SAFE):
             raise CommandError("wrong command for the class")
         return Fields(
             class_index=class_index,
--- a/tests/test_bad_servers.py
+++ b/tests/test_bad_servers.py
@@ -113,7 +113,7 @@
             )
             await until(lambda: not pool.places and not pool.links)
             assert not pool.draining and not pool.idle and not node.limiter.servers
-            assert not node.attempts and not node.limiter.flights
+            assert not node.attempts and not node.limiter.in_flight
 
     run(scenario)
 
