--- a/aniseshed/account.py
+++ b/aniseshed/account.py
@@ -7,7 +7,8 @@
 - *A new window* begins at zero, though the store does not.  The first limiter to call hands on what is
   missing from the store by its own account.  Others must not take that twice (``expected``).
 - *Silence.*  A call that timed out is in doubt until an answer comes: its own, late, or the next total of
-  its name, whose mark tells whether it was added (``aniseshed/marks.py``).  What was not added is told again.
+  its name, whose mark tells whether it was added (``aniseshed/sequence_digits.py``).  What was not added is
+  told again.
 
 Every unit is accounted for: ``told + unreported + out`` is ``charged + handed + forgotten`` after every step.
 """
@@ -17,10 +18,10 @@
 import math
 from dataclasses import dataclass, field
 
-from aniseshed.marks import Marks
-from aniseshed.question import Fate, Question
-from aniseshed.roll import NAME_BITS, SECOND_NS
-from aniseshed.weather import Weather
+from aniseshed.counter_call import Fate, Question
+from aniseshed.counter_health import Weather
+from aniseshed.partition import NAME_BITS, SECOND_NS
+from aniseshed.sequence_digits import Marks
 
 WINDOW_BURSTS = 2.5  # life of a count, in times to refill the burst: long against what its end loses
 LONGEST_LIFE_NS = 60 * SECOND_NS  # no counter keeps a name longer
--- a/aniseshed/bound.py
+++ b/aniseshed/bound.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from aniseshed.account import REPORT_SHARE
+from aniseshed.counter_health import SILENT_WAITS, State, Weather
 from aniseshed.interface import Settings
-from aniseshed.roll import ABSENT_BEATS, BEAT_NS, SECOND_NS
-from aniseshed.weather import SILENT_WAITS, State, Weather
+from aniseshed.partition import ABSENT_BEATS, BEAT_NS, SECOND_NS
 
 
 def bounds(settings: Settings, limiters: int, weather: Weather) -> tuple[float, ...]:
--- a/aniseshed/weather.py
+++ b/aniseshed/counter_health.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from aniseshed.roll import SECOND_NS
+from aniseshed.partition import SECOND_NS
 
 SILENT_WAITS = 6.0  # time-outs without any answer: a connection that went silent is left after one
 GAIN = 0.1  # weight of one call's end in the share of misses
--- a/aniseshed/spent.py
+++ b/aniseshed/exhausted_quotas.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from aniseshed.account import SmoothBursty
-from aniseshed.roll import NAME_BITS, SECOND_NS
+from aniseshed.partition import NAME_BITS, SECOND_NS
 
 SPENT_NS = 6 * SECOND_NS  # for which a word holds: a burst of requests ends within five seconds
 TOLD_A_SECOND = 20.0  # words, by all limiters together: half of what one may take in
--- a/aniseshed/interface.py
+++ b/aniseshed/interface.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from aniseshed.weather import State
+    from aniseshed.counter_health import State
 
 
 class Repeat(Enum):
--- a/aniseshed/policy.py
+++ b/aniseshed/policy.py
@@ -14,13 +14,13 @@
 from aniseshed import interface as api
 from aniseshed.account import CALLS_SAVED, Account, Pace, SmoothBursty
 from aniseshed.bound import bounds
+from aniseshed.counter_call import Fate, Question
+from aniseshed.counter_health import Weather
+from aniseshed.exhausted_quotas import TOLD_A_SECOND, WORDS_SAVED, Spent
 from aniseshed.interface import Ask, Group, Health, ListKind, Outcome, Repeat, Trust
-from aniseshed.marks import place
-from aniseshed.question import Fate, Question
-from aniseshed.roll import BEAT_NS, EPOCH_NS, GROUP, SECOND_NS, Beat, Roll
-from aniseshed.spent import TOLD_A_SECOND, WORDS_SAVED, Spent
+from aniseshed.partition import BEAT_NS, EPOCH_NS, GROUP, SECOND_NS, Beat, Roll
+from aniseshed.sequence_digits import place
 from aniseshed.state import Attempt, Level, Server, Work, apply_list
-from aniseshed.weather import Weather
 
 LATE_CALLS = 500  # remembered after their time-out: what a silent second leaves, a few hundred bytes each
 COUNTER_WAITS = 3.0  # counter time-outs that a client must have left for a question
--- a/hookport/rehearsal/mutants.py
+++ b/hookport/rehearsal/mutants.py
@@ -16,7 +16,7 @@
 
 from aniseshed import interface as api
 from aniseshed import policy
-from aniseshed.roll import SECOND_NS
+from aniseshed.partition import SECOND_NS
 from hookport import __main__ as daemon
 from hookport import clients, node, resp, servers
 
--- a/tests/counter_model.py
+++ b/tests/counter_model.py
@@ -16,7 +16,7 @@
 from aniseshed import interface as api
 from aniseshed.account import REPORT_SHARE, WINDOW_BURSTS
 from aniseshed.bound import bound_units
-from aniseshed.weather import State
+from aniseshed.counter_health import State
 
 STEP_NS = 25 * MS
 TIMEOUT_NS = 30 * MS
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 
 from aniseshed import interface as api
+from aniseshed.partition import TOP_CUSTOMER
 from aniseshed.policy import Limiter
-from aniseshed.roll import TOP_CUSTOMER
 
 SECOND = 1_000_000_000
 MS = 1_000_000
--- a/tests/test_counter_lost.py
+++ b/tests/test_counter_lost.py
@@ -12,8 +12,8 @@
 
 from aniseshed import interface as api
 from aniseshed.account import Account
-from aniseshed.roll import ABSENT_BEATS, BASE, BEAT_NS, EPOCH_NS, GROUP, RETURN_BEATS, Beat, Roll
-from aniseshed.weather import SILENT_WAITS, State, Weather
+from aniseshed.counter_health import SILENT_WAITS, State, Weather
+from aniseshed.partition import ABSENT_BEATS, BASE, BEAT_NS, EPOCH_NS, GROUP, RETURN_BEATS, Beat, Roll
 
 PREMIUM, STANDARD, BASIC = (25.0, 47.0), (4.6, 19.0), (1.0, 4.0)
 
--- a/tests/test_spent.py
+++ b/tests/test_exhausted_quotas.py
@@ -10,7 +10,7 @@
 
 from aniseshed import interface as api
 from aniseshed.account import SmoothBursty
-from aniseshed.spent import KIND, MOST_KNOWN, SPENT_NS, WORDS_SAVED, Spent
+from aniseshed.exhausted_quotas import KIND, MOST_KNOWN, SPENT_NS, WORDS_SAVED, Spent
 
 TOLD = replace(FLEET, may_tell=True)
 BASIC, PREMIUM = 0, 2
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -183,15 +183,15 @@
 def test_a_constant_is_set_where_others_took_it_over_too() -> None:
     code = (
         "import sys; sys.path.insert(0, sys.argv[1])\n"
-        "from aniseshed import policy, roll\n"
+        "from aniseshed import partition, policy\n"
         "from hookport.emulator import cell\n"
-        "cell.set_constant('aniseshed.roll.BEAT_NS', 77)\n"
-        "print(policy.BEAT_NS, roll.BEAT_NS)\n"
+        "cell.set_constant('aniseshed.partition.BEAT_NS', 77)\n"
+        "print(policy.BEAT_NS, partition.BEAT_NS)\n"
     )
     words = [sys.executable, "-c", code, str(experiment.ROOT)]
     assert subprocess.run(words, capture_output=True, text=True, check=True).stdout == "77 77\n"
     with pytest.raises(cell.CellError, match="no such constant"):
-        cell.set_constant("aniseshed.roll.NOTHING", 1)
+        cell.set_constant("aniseshed.partition.NOTHING", 1)
 
 
 def test_a_run_that_ends_in_an_error_keeps_its_line_and_the_others_go_on(tmp_path: Path) -> None:
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -19,7 +19,7 @@
 
 from aniseshed.account import REPORT_SHARE
 from aniseshed.bound import bound_units
-from aniseshed.weather import State
+from aniseshed.counter_health import State
 from hookport.rehearsal import PLAIN, RIVAL, Play, PlayError, command, judgement, mutants, page
 from hookport.rehearsal import plan as plans
 from hookport.rehearsal.fixtures import Rehearse
--- a/tests/test_marks.py
+++ b/tests/test_sequence_digits.py
@@ -11,7 +11,7 @@
 
 from aniseshed import interface as api
 from aniseshed.account import Account, Fate, Question
-from aniseshed.marks import MOST_LIMITERS, Marks, place
+from aniseshed.sequence_digits import MOST_LIMITERS, Marks, place
 
 QUOTA, NO_CEILING = (10.0, 20.0), (0.0, 0.0)
 LONG_NS = 10**12
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -12,7 +12,7 @@
 
 from aniseshed.account import Pace
 from aniseshed.interface import Counted, Outcome
-from aniseshed.roll import Roll
+from aniseshed.partition import Roll
 
 LIMITERS = 200
 SEARCH, CLAIM = 0, 1
