--- a/aniseshed/account.py
+++ b/aniseshed/account.py
@@ -10,7 +10,8 @@
   its name, whose mark tells whether it was added (``aniseshed/sequence_digits.py``).  What was not added is
   told again.
 
-Every unit is accounted for: ``told + unreported + out`` is ``charged + handed + forgotten`` after every step.
+Every unit is accounted for: ``reported + unreported + in_flight`` is
+``charged + carried_over + expired`` after every step.
 """
 
 from __future__ import annotations
@@ -18,10 +19,10 @@
 import math
 from dataclasses import dataclass, field
 
-from aniseshed.counter_call import Fate, Question
-from aniseshed.counter_health import Weather
+from aniseshed.counter_call import CallStatus, CounterCall
+from aniseshed.counter_health import CounterHealth
 from aniseshed.partition import NAME_BITS, SECOND_NS
-from aniseshed.sequence_digits import Marks
+from aniseshed.sequence_digits import SequenceDigits
 
 WINDOW_BURSTS = 2.5  # life of a count, in times to refill the burst: long against what its end loses
 LONGEST_LIFE_NS = 60 * SECOND_NS  # no counter keeps a name longer
@@ -58,35 +59,40 @@
         return ticket_ns
 
 
-class Pace:
+class CallPacer:
     """Guards against a counter so crowded or slow that it answers nobody: each limiter paces its calls by
     what it sees.  Could refuse where a slow counter would still have answered."""
 
     def __init__(self, limiters: int, timeout_ns: int) -> None:
-        self.gap_ns = self.first_ns = max(1, limiters * timeout_ns / CALLS_A_TIMEOUT)
-        self.calls = SmoothBursty(0, SECOND_NS / self.gap_ns, CALLS_SAVED, CALLS_SAVED)
-        self.misses = 0  # in a row
+        self.interval_ns = self.initial_interval_ns = max(1, limiters * timeout_ns / CALLS_A_TIMEOUT)
+        self.tokens = SmoothBursty(0, SECOND_NS / self.interval_ns, CALLS_SAVED, CALLS_SAVED)
+        self.consecutive_misses = 0  # in a row
 
-    def free(self, now_ns: int, saved: float) -> bool:
+    def is_free(self, now_ns: int, saved: float) -> bool:
         """Whether a call may go now that leaves all but ``saved`` of those saved up."""
-        self.calls.resync(now_ns)
-        return self.calls.next_free_ticket_ns <= now_ns and self.calls.stored_permits >= saved
+        self.tokens.resync(now_ns)
+        return self.tokens.next_free_ticket_ns <= now_ns and self.tokens.stored_permits >= saved
 
-    def call(self) -> None:
-        self.calls.reserve(1.0)
+    def on_call(self) -> None:
+        self.tokens.reserve(1.0)
 
-    def ended(self, heard: bool) -> None:
+    def on_result(self, heard: bool) -> None:
         """An answer speeds up a little, the first miss of a row slows down, and each further one more."""
-        change = CALL_FASTER if heard else CALL_SLOWER if not self.misses else 1.0
-        self.gap_ns = min(max(self.gap_ns * change, self.first_ns / CALL_RANGE), self.first_ns * CALL_RANGE)
+        change = CALL_FASTER if heard else CALL_SLOWER if not self.consecutive_misses else 1.0
+        self.interval_ns = min(
+            max(self.interval_ns * change, self.initial_interval_ns / CALL_RANGE),
+            self.initial_interval_ns * CALL_RANGE,
+        )
         # Guards against an overflow in a long outage.
-        self.misses = 0 if heard else min(self.misses + 1, int(CALL_RANGE))
-        self.calls.stable_interval_ns = self.gap_ns * min(2.0**self.misses, CALL_RANGE)
+        self.consecutive_misses = 0 if heard else min(self.consecutive_misses + 1, int(CALL_RANGE))
+        self.tokens.stable_interval_ns = self.interval_ns * min(2.0**self.consecutive_misses, CALL_RANGE)
 
-    def back(self, now_ns: int) -> None:
+    def on_recovered(self, now_ns: int) -> None:
         """The counter answers again: guards against waiting out a gap that only its silence had made."""
-        self.misses, self.calls.stable_interval_ns = 0, self.gap_ns
-        self.calls.next_free_ticket_ns = min(self.calls.next_free_ticket_ns, now_ns + round(self.gap_ns))
+        self.consecutive_misses, self.tokens.stable_interval_ns = 0, self.interval_ns
+        self.tokens.next_free_ticket_ns = min(
+            self.tokens.next_free_ticket_ns, now_ns + round(self.interval_ns)
+        )
 
 
 @dataclass(slots=True, eq=False)
@@ -100,45 +106,45 @@
     bucket: SmoothBursty
     ceiling: SmoothBursty
     window_ns: int
-    room: float  # what the whole quota is believed to hold
-    room_ns: int
-    seen_ns: int
-    spilled: float = math.inf  # refill that found no place since the last answer
+    balance: float  # what the whole quota is believed to hold
+    balance_ns: int
+    last_used_ns: int
+    overflow: float = math.inf  # refill that found no place since the last answer
     total: float | None = None  # of the count at the last answer
-    mine: float = 0.0  # what this limiter added in the count's present life
-    window: int = 0  # of the last answer
-    asked_window: int = 0  # of the last question
-    expected: float = 0.0  # of the debt that another hands on in this window: it is in the room already
+    own_units: float = 0.0  # what this limiter added in the count's present life
+    total_window: int = 0  # of the last answer
+    call_window: int = 0  # of the last question
+    expected_debt: float = 0.0  # of the debt that another hands on in this window: it is in the room already
     unreported: float = 0.0
-    weather: Weather | None = None  # of the counter, one for all accounts of a limiter
+    counter_health: CounterHealth | None = None  # of the counter, one for all accounts of a limiter
     silence_ns: int = 0  # of the counter, up to the last refill
-    withheld: float = 0.0  # refill of that time which others may have spent; theirs to tell when it is back
-    leaned_ns: int = -1  # the silence in which the slice was cut to its part of the room
-    marks: Marks | None = None
+    withheld_refill: float = 0.0  # refill of that time which others may have spent
+    slice_capped_ns: int = -1  # the silence in which the slice was cut to its part of the room
+    digits: SequenceDigits | None = None
     digit: int | None = None  # this limiter's, in the count as last seen; None: not known
-    marked: Question | None = None  # the one call that turns the digit and is not resolved
-    doubts: list[Question] = field(default_factory=list)  # of the present name, in the order of calls
-    knows: bool = False  # it asked of the customer before the present window
-    led: bool = True  # so did another limiter, which has marked the present count
-    gone: bool = False  # the mark shows that the count has lost what was added
-    part: float = 1.0  # of the quota that belongs to this side of a split counter
-    rejoined: bool = False  # a split has healed: totals of the other side are no news
-    heard_ns: int = 0  # the last total
-    again_ns: int = -(1 << 62)  # when a count was last found to have begun again
+    digit_call: CounterCall | None = None  # the one call that turns the digit and is not resolved
+    uncertain_calls: list[CounterCall] = field(default_factory=list)  # of the present name, by number
+    known_before: bool = False  # it asked of the customer before the present window
+    others_knew: bool = True  # so did another limiter, which has marked the present count
+    total_lost: bool = False  # the mark shows that the count has lost what was added
+    quota_share: float = 1.0  # of the quota that belongs to this side of a split counter
+    split_healed: bool = False  # a split has healed: totals of the other side are no news
+    answered_ns: int = 0  # the last total
+    reset_ns: int = -(1 << 62)  # when a count was last found to have begun again
     replaced_ns: int = -(1 << 62)  # the last replacement, as the roll told it, that this account knows of
-    ghost: Question | None = None  # the last marked call taken for lost: it may yet be added
-    before: float = 0.0  # of this limiter's units in a count of which no total has been learnt
-    answered: int = 0  # the latest call whose answer came
-    open: int = 0  # attempts out
-    calls: int = 0  # questions out
-    told: float = field(default=0.0)  # the books: see check()
-    out: float = 0.0
+    late_digit_call: CounterCall | None = None  # the last marked call taken for lost: it may yet be added
+    early_units: float = 0.0  # of this limiter's units in a count of which no total has been learnt
+    answered_call: int = 0  # the latest call whose answer came
+    open_attempts: int = 0  # attempts out
+    open_calls: int = 0  # questions out
+    reported: float = field(default=0.0)  # the books: see imbalance()
+    in_flight: float = 0.0
     charged: float = 0.0
-    handed: float = 0.0
-    forgotten: float = 0.0
+    carried_over: float = 0.0
+    expired: float = 0.0
 
     @classmethod
-    def fresh(
+    def create(
         cls,
         now_ns: int,
         name: int,
@@ -147,7 +153,7 @@
         ceiling: tuple[float, float],
         place: tuple[int, int] = (-1, 1),
         lived_ns: int = 0,
-        weather: Weather | None = None,
+        weather: CounterHealth | None = None,
     ) -> Account:
         """An unseen customer: full, by its slice and by belief.
 
@@ -161,9 +167,9 @@
         window_ns = min(round(WINDOW_BURSTS * burst / rate * SECOND_NS), LONGEST_LIFE_NS)
         return cls(
             name=name,
-            weather=weather,
-            silence_ns=weather.silence_ns(now_ns) if weather else 0,
-            marks=Marks.of(burst, *place),
+            counter_health=weather,
+            silence_ns=weather.total_silence_ns(now_ns) if weather else 0,
+            digits=SequenceDigits.for_burst(burst, *place),
             digit=0 if lived_ns > window_ns else None,
             rate=rate,
             burst=burst,
@@ -171,9 +177,9 @@
             bucket=SmoothBursty(now_ns, rate / set_size, burst / set_size, burst / set_size),
             ceiling=SmoothBursty(now_ns, *part),
             window_ns=window_ns,
-            room=burst,
-            room_ns=now_ns,
-            seen_ns=now_ns,
+            balance=burst,
+            balance_ns=now_ns,
+            last_used_ns=now_ns,
         )
 
     def count_name(self, now_ns: int) -> int:
@@ -181,22 +187,22 @@
         return (self.name + (now_ns // self.window_ns << NAME_BITS)) % (1 << 64)
 
     def refill(self, now_ns: int) -> float:
-        passed_ns = now_ns - self.room_ns
-        if self.weather:
+        passed_ns = now_ns - self.balance_ns
+        if self.counter_health:
             # Guards against a burst for each limiter when the counter is back: while it was silent the others
             # spent their slices unseen.
-            silence_ns = self.weather.silence_ns(now_ns)
+            silence_ns = self.counter_health.total_silence_ns(now_ns)
             unsure_ns = round((silence_ns - self.silence_ns) * (1 - 1 / self.set_size))
             passed_ns, self.silence_ns = passed_ns - unsure_ns, silence_ns
-            self.withheld = min(self.burst, self.withheld + self.rate * unsure_ns / SECOND_NS)
-        full = self.room + self.rate * passed_ns / SECOND_NS
-        self.room, self.room_ns = min(self.burst, full), now_ns
-        self.spilled += full - self.room
-        return self.room
+            self.withheld_refill = min(self.burst, self.withheld_refill + self.rate * unsure_ns / SECOND_NS)
+        full = self.balance + self.rate * passed_ns / SECOND_NS
+        self.balance, self.balance_ns = min(self.burst, full), now_ns
+        self.overflow += full - self.balance
+        return self.balance
 
     def spend(self, now_ns: int, units: float) -> None:
         """Take units from the room, or put them back if below 0; a debt has a floor."""
-        self.room = min(self.burst, max(self.refill(now_ns) - units, ROOM_FLOOR * self.burst))
+        self.balance = min(self.burst, max(self.refill(now_ns) - units, ROOM_FLOOR * self.burst))
 
     def charge(self, now_ns: int, units: float) -> None:
         """Units that this limiter spends by itself; the counter is told later."""
@@ -204,223 +210,242 @@
         self.unreported += units
         self.charged += units
 
-    def give_back(self, now_ns: int, units: float, from_slice: bool) -> None:
+    def refund(self, now_ns: int, units: float, from_slice: bool) -> None:
         """Units that were charged and never used."""
         self.charge(now_ns, -units)
         if from_slice:
             self.bucket.reserve(-units)
 
     @property
-    def most_taken_back(self) -> float:
+    def max_total_decrease(self) -> float:
         """Units that others may take back between two totals; one that falls further is an older one."""
         return FALL_BASE + FALL_SHARE * self.burst
 
-    def told_lately(self, now_ns: int) -> bool:
+    def has_reported_in_window(self, now_ns: int) -> bool:
         """Whether this limiter has told the present count something."""
-        return self.mine > 0 and self.window == now_ns // self.window_ns
+        return self.own_units > 0 and self.total_window == now_ns // self.window_ns
 
-    def wants_back(self) -> bool:
+    def has_refund_to_report(self) -> bool:
         """Units that were asked and not granted stand in everyone's way."""
-        return self.unreported <= -self.least
+        return self.unreported <= -self.min_report_units
 
     @property
-    def least(self) -> float:
+    def min_report_units(self) -> float:
         """The least amount that is worth a call, in units: less is what rounding leaves."""
-        return self.marks.quantum if self.marks else ROUNDING
+        return self.digits.quantum if self.digits else ROUNDING
 
-    def wants_to_tell(self) -> bool:
+    def is_report_due(self) -> bool:
         """Unreported spends are an error in everyone's view: it is kept to a part of the room left."""
-        return self.unreported >= max(self.least, REPORT_SHARE * self.room / self.set_size)
+        return self.unreported >= max(self.min_report_units, REPORT_SHARE * self.balance / self.set_size)
 
-    def ask(self, now_ns: int, request_id: int, units: float, call: int = 0) -> Question:
+    def start_call(self, now_ns: int, request_id: int, units: float, call: int = 0) -> CounterCall:
         """A question for these units, which tells all local spends since the last one."""
         window = now_ns // self.window_ns
-        if window != self.asked_window:
-            self.new_window(now_ns, window)
+        if window != self.call_window:
+            self.start_window(now_ns, window)
         local = self.unreported
-        if self.marks:  # guards against a fraction of a unit being read as somebody's mark
-            local = self.marks.round_up(units + local) - units
+        if self.digits:  # guards against a fraction of a unit being read as somebody's mark
+            local = self.digits.round_up(units + local) - units
         self.unreported -= local
-        self.out += local
-        self.calls += 1
-        question = Question(self, request_id, self.count_name(now_ns), units, local, call, now_ns)
-        if self.ghost and now_ns - self.ghost.asked_ns > GHOST_NS:
-            self.ghost = None
-        if self.marks and self.marked is self.ghost is None and self.digit is not None:
-            turn = self.marks.next(self.digit, self.knows) - self.digit
-            question.mark, self.marked = self.marks.weight * turn, question
+        self.in_flight += local
+        self.open_calls += 1
+        question = CounterCall(self, request_id, self.count_name(now_ns), units, local, call, now_ns)
+        if self.late_digit_call and now_ns - self.late_digit_call.started_ns > GHOST_NS:
+            self.late_digit_call = None
+        if self.digits and self.digit_call is self.late_digit_call is None and self.digit is not None:
+            turn = self.digits.next_digit(self.digit, self.known_before) - self.digit
+            question.digit_amount, self.digit_call = self.digits.weight * turn, question
         return question
 
-    def new_window(self, now_ns: int, window: int) -> None:
+    def start_window(self, now_ns: int, window: int) -> None:
         """Keep to the window: nothing is taken back from another, nothing told that has long refilled."""
-        for question in self.doubts:
-            self.landed(now_ns, question)
-        if self.asked_window and self.marks and self.marks.weight:
+        for question in self.uncertain_calls:
+            self.on_added(now_ns, question)
+        if self.call_window and self.digits and self.digits.weight:
             self.digit = 0  # it was here before this window began: no mark of its own can stand in it
         owed = min(max(0.0, self.unreported), max(0.0, self.burst - self.refill(now_ns)))
-        self.forgotten += owed - self.unreported
-        self.knows, self.unreported, self.asked_window = self.asked_window > 0, owed, window
-        self.doubts, self.marked, self.ghost, self.before = [], None, None, 0.0
+        self.expired += owed - self.unreported
+        self.known_before, self.unreported, self.call_window = self.call_window > 0, owed, window
+        self.uncertain_calls, self.digit_call, self.late_digit_call, self.early_units = (
+            [],
+            None,
+            None,
+            0.0,
+        )
 
-    def heard(self, now_ns: int, question: Question, total: float) -> bool:
+    def on_answer(self, now_ns: int, question: CounterCall, total: float) -> bool:
         """An answer; whether it grants what was asked.  The units are charged if it does."""
-        current, fate = question.name == self.count_name(now_ns), question.fate
-        if fate in (Fate.LOST, Fate.ENDED):
-            if fate is Fate.LOST and current:
-                self.added_after_all(now_ns, question)
+        current, fate = question.name == self.count_name(now_ns), question.status
+        if fate in (CallStatus.LOST, CallStatus.RESOLVED):
+            if fate is CallStatus.LOST and current:
+                self.on_late_addition(now_ns, question)
             return False
-        if fate is Fate.DOUBT:
-            self.doubts.remove(question)
-        self.end(question)
-        self.told += question.amount
-        if current and question.call < self.answered:
+        if fate is CallStatus.UNCERTAIN:
+            self.uncertain_calls.remove(question)
+        self.finish_call(question)
+        self.reported += question.amount
+        if current and question.number < self.answered_call:
             # Out of turn, from another connection: a later total has shown it already, as if it were others'.
-            self.mine += question.amount
+            self.own_units += question.amount
             self.spend(now_ns, -question.amount)
         elif current:
-            self.learn(now_ns, self.resolve(now_ns, question, total), question)
-        if current and fate is Fate.OUT and question.units > 0 and self.room >= question.units:
+            self.update_from_total(now_ns, self.resolve_uncertain(now_ns, question, total), question)
+        if current and fate is CallStatus.IN_FLIGHT and question.units > 0 and self.balance >= question.units:
             self.spend(now_ns, question.units)
             self.charged += question.units
             return True
-        self.take_back(now_ns, question)
+        self.reverse_ungranted(now_ns, question)
         return False
 
-    def added_after_all(self, now_ns: int, question: Question) -> None:
+    def on_late_addition(self, now_ns: int, question: CounterCall) -> None:
         """What was told again as lost stands twice: the totals since then showed it as if it were others'."""
-        question.fate = Fate.ENDED
-        self.told += question.amount
+        question.status = CallStatus.RESOLVED
+        self.reported += question.amount
         self.unreported -= question.amount
-        self.mine += question.amount
+        self.own_units += question.amount
         self.spend(now_ns, -question.amount)
 
-    def resolve(self, now_ns: int, question: Question, total: float) -> float:
+    def resolve_uncertain(self, now_ns: int, question: CounterCall, total: float) -> float:
         """What the mark in a total tells of the calls in doubt; returns the total without marks."""
-        body, digit = self.marks.read(total) if self.marks else (total, None)
-        known, marked, ghost, self.answered = self.digit, self.marked, self.ghost, question.call
+        body, digit = self.digits.decode(total) if self.digits else (total, None)
+        known, marked, ghost, self.answered_call = (
+            self.digit,
+            self.digit_call,
+            self.late_digit_call,
+            question.number,
+        )
         self.digit = digit
-        if self.marks and digit is not None:
-            self.led = self.marks.led(total, digit)
-        if self.marks is None or digit is None or known is None:
-            self.marked = None if marked is question else marked
+        if self.digits and digit is not None:
+            self.others_knew = self.digits.others_knew(total, digit)
+        if self.digits is None or digit is None or known is None:
+            self.digit_call = None if marked is question else marked
         else:
-            turned = digit == self.marks.next(known, self.knows)
+            turned = digit == self.digits.next_digit(known, self.known_before)
             if marked and (marked is question or digit != known):
-                self.gone, self.marked = not turned, None
-                if turned and marked.fate is Fate.DOUBT:
-                    self.doubts.remove(marked)
-                    self.landed(now_ns, marked)
+                self.total_lost, self.digit_call = not turned, None
+                if turned and marked.status is CallStatus.UNCERTAIN:
+                    self.uncertain_calls.remove(marked)
+                    self.on_added(now_ns, marked)
             elif marked is None and turned and ghost:
-                self.ghost = None
-                if ghost.fate is Fate.LOST:
-                    self.added_after_all(now_ns, ghost)
+                self.late_digit_call = None
+                if ghost.status is CallStatus.LOST:
+                    self.on_late_addition(now_ns, ghost)
             elif marked is None:
-                self.gone = digit != known and not (known == 0 and self.marks.base == 2)
-        for doubt in self.doubts:  # guards against overrun: what is not seen in the total is told again
-            self.lost(doubt)
-        self.doubts.clear()
+                self.total_lost = digit != known and not (known == 0 and self.digits.base == 2)
+        for doubt in self.uncertain_calls:  # guards against overrun: what is not seen is told again
+            self.on_lost(doubt)
+        self.uncertain_calls.clear()
         return body
 
-    def landed(self, now_ns: int, question: Question) -> None:
+    def on_added(self, now_ns: int, question: CounterCall) -> None:
         """A call in doubt has been added."""
-        self.out -= question.local
-        self.told += question.amount
-        question.fate = Fate.ENDED
-        self.take_back(now_ns, question)
+        self.in_flight -= question.local_units
+        self.reported += question.amount
+        question.status = CallStatus.RESOLVED
+        self.reverse_ungranted(now_ns, question)
         if question.name == self.count_name(now_ns):
-            if self.total is not None and self.window == now_ns // self.window_ns:
+            if self.total is not None and self.total_window == now_ns // self.window_ns:
                 self.total += question.amount
-                self.mine += question.amount
+                self.own_units += question.amount
             else:
-                self.before += question.amount
+                self.early_units += question.amount
 
-    def lost(self, question: Question) -> None:
+    def on_lost(self, question: CounterCall) -> None:
         """A call in doubt has not been added: what it told is to be told again."""
-        question.fate = Fate.LOST
-        self.out -= question.local
-        self.unreported += question.local
-        if self.marked is question:
-            self.marked, self.ghost = None, question
+        question.status = CallStatus.LOST
+        self.in_flight -= question.local_units
+        self.unreported += question.local_units
+        if self.digit_call is question:
+            self.digit_call, self.late_digit_call = None, question
 
-    def take_back(self, now_ns: int, question: Question) -> None:
+    def reverse_ungranted(self, now_ns: int, question: CounterCall) -> None:
         """Units that were added and not granted: they are taken from the window in which they stand."""
         if question.name == self.count_name(now_ns):
             self.unreported -= question.units
         else:
-            self.forgotten += question.units  # with their window
+            self.expired += question.units  # with their window
 
-    def not_added(self, question: Question) -> None:
+    def on_rejected(self, question: CounterCall) -> None:
         """The counter turned the call away, or never got it; it may say so late."""
-        if question.fate is Fate.DOUBT:
-            self.doubts.remove(question)
-            self.lost(question)
-        elif question.fate is Fate.OUT:
-            self.end(question)
-            self.unreported += question.local
-        if question in (self.marked, self.ghost):  # no mark of it can show any more
-            self.marked = None if self.marked is question else self.marked
-            self.ghost = None if self.ghost is question else self.ghost
-
-    def missed(self, now_ns: int, question: Question) -> None:
+        if question.status is CallStatus.UNCERTAIN:
+            self.uncertain_calls.remove(question)
+            self.on_lost(question)
+        elif question.status is CallStatus.IN_FLIGHT:
+            self.finish_call(question)
+            self.unreported += question.local_units
+        if question in (self.digit_call, self.late_digit_call):  # no mark of it can show any more
+            self.digit_call = None if self.digit_call is question else self.digit_call
+            self.late_digit_call = None if self.late_digit_call is question else self.late_digit_call
+
+    def on_timeout(self, now_ns: int, question: CounterCall) -> None:
         """No answer in time: it may have been added."""
-        if question.fate is not Fate.OUT:
+        if question.status is not CallStatus.IN_FLIGHT:
             return
-        self.calls -= 1
-        question.fate = Fate.DOUBT
+        self.open_calls -= 1
+        question.status = CallStatus.UNCERTAIN
         if question.name == self.count_name(now_ns):
-            self.doubts.append(question)
+            self.uncertain_calls.append(question)
         else:
-            self.landed(now_ns, question)  # its window is over, and what it told with it
+            self.on_added(now_ns, question)  # its window is over, and what it told with it
 
-    def end(self, question: Question) -> None:
-        self.calls -= question.fate is Fate.OUT
-        self.out -= question.local
-        question.fate = Fate.ENDED
+    def finish_call(self, question: CounterCall) -> None:
+        self.open_calls -= question.status is CallStatus.IN_FLIGHT
+        self.in_flight -= question.local_units
+        question.status = CallStatus.RESOLVED
 
-    def learn(self, now_ns: int, total: float, question: Question) -> None:
+    def update_from_total(self, now_ns: int, total: float, question: CounterCall) -> None:
         """Take from the room what others added since the last answer, or since the window began."""
         added, window = question.amount, now_ns // self.window_ns
         elapsed_s = now_ns % self.window_ns / SECOND_NS
         room = self.refill(now_ns)
         # A new window or lost counts, one case for both.
-        lost = self.gone or total < self.mine + added - ROUNDING
-        if self.total is not None and self.window == window:
-            lost = lost or total - self.total - added < -self.most_taken_back
-        self.gone = False
-        if self.weather and self.weather.replaced_ns > self.replaced_ns:
-            self.replaced_ns = self.weather.replaced_ns
-            lost = lost or self.heard_ns < self.replaced_ns
-        if now_ns - self.again_ns > TEACH_NS and self.again_ns > self.heard_ns - TEACH_NS:
-            self.expected = 0.0  # whoever had something to tell again has told it: the rest is news
-        if lost and self.total is not None and self.window == window:
-            self.begin_again(now_ns, total - added, self.total)
-        elif self.total is None or self.window != window:
+        lost = self.total_lost or total < self.own_units + added - ROUNDING
+        if self.total is not None and self.total_window == window:
+            lost = lost or total - self.total - added < -self.max_total_decrease
+        self.total_lost = False
+        if self.counter_health and self.counter_health.replaced_ns > self.replaced_ns:
+            self.replaced_ns = self.counter_health.replaced_ns
+            lost = lost or self.answered_ns < self.replaced_ns
+        if now_ns - self.reset_ns > TEACH_NS and self.reset_ns > self.answered_ns - TEACH_NS:
+            self.expected_debt = 0.0  # whoever had something to tell again has told it: the rest is news
+        if lost and self.total is not None and self.total_window == window:
+            self.recover_lost_total(now_ns, total - added, self.total)
+        elif self.total is None or self.total_window != window:
             # What is missing from the store by this limiter's own account, but for what it tells just now.
-            debt = max(0.0, self.burst - room - max(0.0, question.local))
-            known, self.expected = self.total is not None, 0.0
-            if known and (not self.led or total <= added + self.before + ROUNDING):
+            debt = max(0.0, self.burst - room - max(0.0, question.local_units))
+            known, self.expected_debt = self.total is not None, 0.0
+            if known and (not self.others_knew or total <= added + self.early_units + ROUNDING):
                 # The first to call that knows it hands it on, or each window would grant a burst anew.
                 self.unreported += debt
-                self.handed += debt
-            elif known and self.window + 1 == window:
-                self.expected = debt
-            self.window, self.total, self.mine, self.before = window, self.before, self.before, 0.0
-            self.spilled = min(self.spilled, self.rate * elapsed_s)
-        self.rejoined = False
-        self.heard_ns = now_ns
-        if self.withheld and self.weather and now_ns - self.weather.back_ns > TEACH_NS:
-            self.room, self.withheld = min(self.burst, self.room + self.withheld), 0.0
+                self.carried_over += debt
+            elif known and self.total_window + 1 == window:
+                self.expected_debt = debt
+            self.total_window, self.total, self.own_units, self.early_units = (
+                window,
+                self.early_units,
+                self.early_units,
+                0.0,
+            )
+            self.overflow = min(self.overflow, self.rate * elapsed_s)
+        self.split_healed = False
+        self.answered_ns = now_ns
+        if (
+            self.withheld_refill
+            and self.counter_health
+            and now_ns - self.counter_health.recovered_ns > TEACH_NS
+        ):
+            self.balance, self.withheld_refill = min(self.burst, self.balance + self.withheld_refill), 0.0
         others = total - (self.total or 0.0) - added
-        self.total, self.mine = total, self.mine + added
+        self.total, self.own_units = total, self.own_units + added
         # Guards against taking twice what this limiter knew of when the window began.
-        again = min(self.expected, max(0.0, others))
-        self.expected -= again
+        again = min(self.expected_debt, max(0.0, others))
+        self.expected_debt -= again
         others -= again
         # Guards against believing a customer seldom seen here to be spent: others took the spilled first.
-        self.spend(now_ns, max(0.0, others - self.spilled) if others > 0 else others)
-        self.spilled = 0.0
+        self.spend(now_ns, max(0.0, others - self.overflow) if others > 0 else others)
+        self.overflow = 0.0
 
-    def begin_again(self, now_ns: int, stands: float, knew: float) -> None:
+    def recover_lost_total(self, now_ns: int, stands: float, knew: float) -> None:
         """A count that lost units in the middle of its window: each limiter tells its own share again.
 
         ``stands`` is what others are seen to have in it, ``knew`` the total that this limiter knew: what is
@@ -428,38 +453,42 @@
         another side of a split counter nothing is told: it never owed this limiter's part.  What others spent
         since this limiter heard last is nowhere to be read: they are taken to have spent their slices."""
         missing = min(1.0, max(0.0, 1.0 - stands / knew)) if knew > 0 else 1.0
-        apart = self.part < 1.0 or self.rejoined
-        again = 0.0 if apart else missing * max(0.0, self.mine)
+        apart = self.quota_share < 1.0 or self.split_healed
+        again = 0.0 if apart else missing * max(0.0, self.own_units)
         self.unreported += again
-        self.handed += again
-        unseen = 0.0 if apart else self.rate * (1 - 1 / self.set_size) * (now_ns - self.heard_ns) / SECOND_NS
+        self.carried_over += again
+        unseen = (
+            0.0 if apart else self.rate * (1 - 1 / self.set_size) * (now_ns - self.answered_ns) / SECOND_NS
+        )
         unseen = min(unseen, max(0.0, self.refill(now_ns)))
         self.spend(now_ns, unseen)
-        self.expected = max(0.0, stands) if apart else max(0.0, knew - self.mine) + unseen
-        self.total = self.mine = self.before = 0.0
-        self.again_ns = now_ns
+        self.expected_debt = max(0.0, stands) if apart else max(0.0, knew - self.own_units) + unseen
+        self.total = self.own_units = self.early_units = 0.0
+        self.reset_ns = now_ns
 
     def rescale(self, now_ns: int, part: float) -> None:
         """Keep to this side's part of rate and burst, or go back to the whole.
 
         What is in the store is divided when a side shrinks.  When it grows again nothing is added: what the
         others had left is theirs until it has refilled, so that coming back is no second burst."""
-        room, change = self.refill(now_ns), part / self.part
+        room, change = self.refill(now_ns), part / self.quota_share
         self.rate, self.burst = self.rate * change, self.burst * change
         if change < 1:
-            self.room = min(room, self.burst) if room < 0 else room * change
-        self.rejoined, self.part = change > 1, part
+            self.balance = min(room, self.burst) if room < 0 else room * change
+        self.split_healed, self.quota_share = change > 1, part
 
-    def lean(self, now_ns: int) -> None:
+    def cap_slice(self, now_ns: int) -> None:
         """When the counter falls silent the slice is all: it holds no more than its part of the room then.
 
         Guards against a slice that stood full while grants spent what all slices share."""
-        if self.weather is None or self.leaned_ns == self.weather.unheard_ns:
+        if self.counter_health is None or self.slice_capped_ns == self.counter_health.first_miss_ns:
             return
-        self.leaned_ns = self.weather.unheard_ns
+        self.slice_capped_ns = self.counter_health.first_miss_ns
         share = max(0.0, self.refill(now_ns)) / self.set_size
         self.bucket.stored_permits = min(self.bucket.stored_permits, share)
 
-    def check(self) -> float:
+    def imbalance(self) -> float:
         """How far the books are from balanced, in units: 0 but for rounding."""
-        return self.told + self.unreported + self.out - self.charged - self.handed - self.forgotten
+        return (
+            self.reported + self.unreported + self.in_flight - self.charged - self.carried_over - self.expired
+        )
--- a/aniseshed/counter_call.py
+++ b/aniseshed/counter_call.py
@@ -10,29 +10,29 @@
     from aniseshed.account import Account
 
 
-class Fate(Enum):
+class CallStatus(Enum):
     """What has become of a call: what it told counts once whichever way it goes from one to the next."""
 
-    OUT = "out"
-    ENDED = "ended"  # answered, turned away, or resolved
-    DOUBT = "doubt"  # unanswered in time; it may have been added, or may yet be
+    IN_FLIGHT = "out"
+    RESOLVED = "ended"  # answered, turned away, or resolved
+    UNCERTAIN = "doubt"  # unanswered in time; it may have been added, or may yet be
     LOST = "lost"  # told again, for all that is known; an answer may still come
 
 
 @dataclass(slots=True, eq=False)
-class Question:
+class CounterCall:
     """A call to the counter: units asked for, and local spends told with it; both in units of the quota."""
 
     account: Account
     request_id: int  # -1 if it only tells
     name: int
     units: float
-    local: float
-    call: int = 0  # its number at this limiter, in the order in which calls were made
-    asked_ns: int = 0
-    mark: float = 0.0  # added with it, to turn this limiter's digit of the total
-    fate: Fate = Fate.OUT
+    local_units: float
+    number: int = 0  # its number at this limiter, in the order in which calls were made
+    started_ns: int = 0
+    digit_amount: float = 0.0  # added with it, to turn this limiter's digit of the total
+    status: CallStatus = CallStatus.IN_FLIGHT
 
     @property
     def amount(self) -> float:
-        return self.units + self.local
+        return self.units + self.local_units
--- a/aniseshed/counter_health.py
+++ b/aniseshed/counter_health.py
@@ -16,61 +16,61 @@
 SETTLE_NS = 10 * SECOND_NS  # for which a change is told as replaced or back: about a count's window
 
 
-class State(Enum):
-    WELL = "well"  # answers in time
+class CounterState(Enum):
+    HEALTHY = "well"  # answers in time
     SLOW = "slow"  # half of the calls end without one
     SILENT = "silent"  # no answer for SILENT_WAITS time-outs, and calls that went without
     REPLACED = "replaced"  # this limiter's digit of the roll is gone
     SPLIT = "split"  # a limiter lives and does not answer the roll
-    BACK = "back"  # answers again after silence or a split, for a window
+    RECOVERED = "back"  # answers again after silence or a split, for a window
 
 
 @dataclass(slots=True)
-class Weather:
+class CounterHealth:
     """The state of the counter as one limiter sees it.  Times in nanoseconds."""
 
     timeout_ns: int
-    state: State = State.WELL
+    state: CounterState = CounterState.HEALTHY
     since_ns: int = 0
-    heard_ns: int = -1  # the last answer in time
-    unheard_ns: int = -1  # the first call since then that ended without one
+    answered_ns: int = -1  # the last answer in time
+    first_miss_ns: int = -1  # the first call since then that ended without one
     past_silence_ns: int = 0  # all silences that have ended
-    back_ns: int = -(1 << 62)  # when the last one did
-    misses: float = 0.0  # share of the last calls
+    recovered_ns: int = -(1 << 62)  # when the last one did
+    miss_rate: float = 0.0  # share of the last calls
     replaced_ns: int = -(1 << 62)
-    troubled_ns: int = -(1 << 62)  # when it was last silent or split
+    impaired_ns: int = -(1 << 62)  # when it was last silent or split
 
-    def ended(self, now_ns: int, heard: bool) -> None:
+    def on_result(self, now_ns: int, heard: bool) -> None:
         """A call ended, in time with a total or not."""
-        self.misses += GAIN * ((not heard) - self.misses)
+        self.miss_rate += GAIN * ((not heard) - self.miss_rate)
         if heard:
-            if self.silent(now_ns):
-                self.past_silence_ns, self.back_ns = self.silence_ns(now_ns), now_ns
-            self.heard_ns, self.unheard_ns = now_ns, -1
-        elif self.unheard_ns < 0:
-            self.unheard_ns = now_ns
+            if self.is_silent(now_ns):
+                self.past_silence_ns, self.recovered_ns = self.total_silence_ns(now_ns), now_ns
+            self.answered_ns, self.first_miss_ns = now_ns, -1
+        elif self.first_miss_ns < 0:
+            self.first_miss_ns = now_ns
 
-    def silent(self, now_ns: int) -> bool:
-        return self.unheard_ns >= 0 and now_ns - self.unheard_ns >= SILENT_WAITS * self.timeout_ns
+    def is_silent(self, now_ns: int) -> bool:
+        return self.first_miss_ns >= 0 and now_ns - self.first_miss_ns >= SILENT_WAITS * self.timeout_ns
 
-    def silence_ns(self, now_ns: int) -> int:
+    def total_silence_ns(self, now_ns: int) -> int:
         """For how long the counter has been silent in all; a silence counts from its first missing answer."""
-        return self.past_silence_ns + (now_ns - self.unheard_ns if self.silent(now_ns) else 0)
+        return self.past_silence_ns + (now_ns - self.first_miss_ns if self.is_silent(now_ns) else 0)
 
-    def look(self, now_ns: int, split: bool) -> bool:
+    def update_state(self, now_ns: int, split: bool) -> bool:
         """Settle the state by what is known now; whether it has changed."""
-        if self.silent(now_ns):
-            state = State.SILENT
+        if self.is_silent(now_ns):
+            state = CounterState.SILENT
         elif split:
-            state = State.SPLIT
+            state = CounterState.SPLIT
         elif now_ns - self.replaced_ns < SETTLE_NS:
-            state = State.REPLACED
-        elif self.misses > SLOW_SHARE:
-            state = State.SLOW
+            state = CounterState.REPLACED
+        elif self.miss_rate > SLOW_SHARE:
+            state = CounterState.SLOW
         else:
-            state = State.BACK if now_ns - self.troubled_ns < SETTLE_NS else State.WELL
-        if state in (State.SILENT, State.SPLIT):
-            self.troubled_ns = now_ns
+            state = CounterState.RECOVERED if now_ns - self.impaired_ns < SETTLE_NS else CounterState.HEALTHY
+        if state in (CounterState.SILENT, CounterState.SPLIT):
+            self.impaired_ns = now_ns
         changed, self.state = state is not self.state, state
         if changed:
             self.since_ns = now_ns
--- a/aniseshed/exhausted_quotas.py
+++ b/aniseshed/exhausted_quotas.py
@@ -19,35 +19,35 @@
 
 
 @dataclass(slots=True)
-class Spent:
+class ExhaustedQuotas:
     """Which customers are known to be beyond their quotas.  Times in nanoseconds on the module's clock."""
 
-    words: SmoothBursty
-    until_ns: dict[int, int] = field(default_factory=dict)  # in order of their ends
+    message_tokens: SmoothBursty
+    expires_ns: dict[int, int] = field(default_factory=dict)  # in order of their ends
 
-    def wait_ns(self, now_ns: int, customer: int) -> int:
+    def remaining_ns(self, now_ns: int, customer: int) -> int:
         """For how long a word about the customer still holds; 0 without one."""
-        return max(0, self.until_ns.get(customer, 0) - now_ns)
+        return max(0, self.expires_ns.get(customer, 0) - now_ns)
 
-    def note(self, now_ns: int, customer: int) -> None:
-        self.until_ns.pop(customer, None)
-        self.until_ns[customer] = now_ns + SPENT_NS
-        oldest = next(iter(self.until_ns))
-        if len(self.until_ns) > MOST_KNOWN or self.until_ns[oldest] <= now_ns:
-            del self.until_ns[oldest]
+    def record(self, now_ns: int, customer: int) -> None:
+        self.expires_ns.pop(customer, None)
+        self.expires_ns[customer] = now_ns + SPENT_NS
+        oldest = next(iter(self.expires_ns))
+        if len(self.expires_ns) > MOST_KNOWN or self.expires_ns[oldest] <= now_ns:
+            del self.expires_ns[oldest]
 
-    def refused(self, now_ns: int, customer: int, rank: float) -> bytes | None:
+    def on_refused(self, now_ns: int, customer: int, rank: float) -> bytes | None:
         """The word that is due, if the others' last one is about to end; ``rank`` is what a second of the
         customer's quota is worth beside the dearest plan's, from 0 to 1."""
-        self.words.resync(now_ns)
-        known = self.wait_ns(now_ns, customer) > SPENT_NS / 2
-        if known or self.words.stored_permits < 1 + (WORDS_SAVED - 1) * (1 - rank):
+        self.message_tokens.resync(now_ns)
+        known = self.remaining_ns(now_ns, customer) > SPENT_NS / 2
+        if known or self.message_tokens.stored_permits < 1 + (WORDS_SAVED - 1) * (1 - rank):
             return None
-        self.words.reserve(1.0)
-        self.note(now_ns, customer)
+        self.message_tokens.reserve(1.0)
+        self.record(now_ns, customer)
         return KIND + customer.to_bytes(SIZE, "big")
 
-    def heard(self, now_ns: int, payload: bytes) -> None:
+    def on_message(self, now_ns: int, payload: bytes) -> None:
         """A word of another limiter; what is none is passed over."""
         if len(payload) == 1 + SIZE and payload.startswith(KIND):
-            self.note(now_ns, int.from_bytes(payload[1:], "big"))
+            self.record(now_ns, int.from_bytes(payload[1:], "big"))
--- a/aniseshed/interface.py
+++ b/aniseshed/interface.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from aniseshed.counter_health import State
+    from aniseshed.counter_health import CounterState
 
 
 class Repeat(Enum):
@@ -369,7 +369,7 @@
     """What operators are told of the counter: its state (see ``weather.py``), ``since_ns`` on the module's
     clock, the bound in units beyond one customer's quota since the change, by position of the plan."""
 
-    state: State
+    state: CounterState
     since_ns: int
     bound_units: tuple[float, ...]
     away: tuple[int, ...]  # indexes of the limiters on another side
--- a/aniseshed/policy.py
+++ b/aniseshed/policy.py
@@ -12,14 +12,14 @@
 from collections.abc import Callable
 
 from aniseshed import interface as api
-from aniseshed.account import CALLS_SAVED, Account, Pace, SmoothBursty
+from aniseshed.account import CALLS_SAVED, Account, CallPacer, SmoothBursty
 from aniseshed.bound import bounds
-from aniseshed.counter_call import Fate, Question
-from aniseshed.counter_health import Weather
-from aniseshed.exhausted_quotas import TOLD_A_SECOND, WORDS_SAVED, Spent
+from aniseshed.counter_call import CallStatus, CounterCall
+from aniseshed.counter_health import CounterHealth
+from aniseshed.exhausted_quotas import TOLD_A_SECOND, WORDS_SAVED, ExhaustedQuotas
 from aniseshed.interface import Ask, Group, Health, ListKind, Outcome, Repeat, Trust
-from aniseshed.partition import BEAT_NS, EPOCH_NS, GROUP, SECOND_NS, Beat, Roll
-from aniseshed.sequence_digits import place
+from aniseshed.partition import BEAT_NS, EPOCH_NS, GROUP, SECOND_NS, Heartbeat, PartitionDetector
+from aniseshed.sequence_digits import assign_digit
 from aniseshed.state import Attempt, Level, Server, Work, apply_list
 
 LATE_CALLS = 500  # remembered after their time-out: what a silent second leaves, a few hundred bytes each
@@ -62,14 +62,14 @@
         self.work: dict[int, Work] = {}
         self.flights: dict[tuple[int, int], Attempt] = {}
         self.timers: dict[int, tuple[Callable[..., object], Work | bool | None]] = {}
-        self.questions: dict[int, Question] = {}  # by number of the call: out, or their answer may come late
+        self.questions: dict[int, CounterCall] = {}  # by number of the call: out, or may be answered late
         self.untaught: list[Account] = []  # customers whose counts may have begun again
-        self.beats: dict[int, Beat] = {}  # of the roll, out, by number of the call
+        self.beats: dict[int, Heartbeat] = {}  # of the roll, out, by number of the call
         self.last_call, self.start_ns = 0, -1
-        self.weather = Weather(settings.counter_timeout_ns)
-        self.roll = Roll(settings.index, self.limiters, 0, settings.may_tell)
-        self.spent = Spent(SmoothBursty(0, TOLD_A_SECOND / self.limiters, WORDS_SAVED, 1.0))
-        self.pace = Pace(self.limiters, settings.counter_timeout_ns)
+        self.weather = CounterHealth(settings.counter_timeout_ns)
+        self.roll = PartitionDetector(settings.index, self.limiters, 0, settings.may_tell)
+        self.spent = ExhaustedQuotas(SmoothBursty(0, TOLD_A_SECOND / self.limiters, WORDS_SAVED, 1.0))
+        self.pace = CallPacer(self.limiters, settings.counter_timeout_ns)
         self.usual_ns = [0.0] * len(settings.classes)  # of one unit's answer
         self.longest_ns = [0] * len(settings.classes)
         self.young: list[deque[Attempt]] = [deque() for _ in settings.classes]
@@ -120,7 +120,7 @@
         aim_ns = now_ns + min(kind.aim_ns - passed_ns, request.patience_ns)
         customer = self.customer_of(request, plan)
         work = self.work[request.request_id] = Work(request, kind, plan, units, customer, aim_ns)
-        full = plan.max_open and customer.open >= max(1, int(plan.max_open / customer.set_size))
+        full = plan.max_open and customer.open_attempts >= max(1, int(plan.max_open / customer.set_size))
         value = work.kind.worth * plan.price * units
         self.value += GAIN * (value - self.value) if self.value else value
         work.rank = min(1.0, value / self.value)
@@ -147,20 +147,20 @@
 
     def on_given_back(self, event: api.GivenBack) -> None:
         if customer := self.customers.get(event.customer):
-            customer.give_back(self.now_ns, event.units, False)
+            customer.refund(self.now_ns, event.units, False)
 
     def admit(self, work: Work, customer: Account) -> None:
         """The ordinary path: the slice, then the counter, then the ticket."""
         customer.bucket.resync(self.now_ns)
-        if silent := self.weather.silent(self.now_ns):
-            customer.lean(self.now_ns)
+        if silent := self.weather.is_silent(self.now_ns):
+            customer.cap_slice(self.now_ns)
         # Guards against slices and grants together passing the quota: of a spent one, a slice is nothing.
         short = customer.total is not None and customer.refill(self.now_ns) < work.units
         timely = work.request.patience_ns > COUNTER_WAITS * self.settings.counter_timeout_ns
         call = timely and not short and self.may_call(1 + (CALLS_SAVED - 1) * (1 - work.rank))
         # Guards against all limiters of a large set taking ahead at once what none of their slices can hold.
         sliver = customer.bucket.max_permits < work.units
-        told = sliver and not silent and self.spent.wait_ns(self.now_ns, customer.name)
+        told = sliver and not silent and self.spent.remaining_ns(self.now_ns, customer.name)
         work.asking = True
         short = short and not silent  # then the slice alone decides
         if customer.bucket.next_free_ticket_ns <= self.now_ns and not (short or (sliver and call) or told):
@@ -176,31 +176,35 @@
         if customer is None:
             now_ns, size = self.now_ns, min(max(1.0, request.set_size), self.limiters)
             quota, ceiling = (plan.rate, plan.burst), (plan.ceiling_rate, plan.ceiling_burst)
-            self.roll.used = self.roll.used or size <= GROUP
-            digit = place(self.settings.index, self.limiters, round(size))
-            customer = Account.fresh(
+            self.roll.enabled = self.roll.enabled or size <= GROUP
+            digit = assign_digit(self.settings.index, self.limiters, round(size))
+            customer = Account.create(
                 now_ns, request.customer, size, quota, ceiling, digit, now_ns - self.start_ns, self.weather
             )
             for old in list(self.customers.values()):  # in order of last use
-                if old.calls or old.open or now_ns - old.seen_ns < IDLE_WINDOWS * old.window_ns:
+                if (
+                    old.open_calls
+                    or old.open_attempts
+                    or now_ns - old.last_used_ns < IDLE_WINDOWS * old.window_ns
+                ):
                     break
                 del self.customers[old.name]
         self.customers[request.customer] = customer
-        customer.seen_ns = self.now_ns
-        part = self.roll.part(round(request.set_start), round(customer.set_size))
-        if part != customer.part:
+        customer.last_used_ns = self.now_ns
+        part = self.roll.quota_share(round(request.set_start), round(customer.set_size))
+        if part != customer.quota_share:
             customer.rescale(self.now_ns, part)
         return customer
 
     def may_call(self, saved: float) -> bool:
-        return self.settings.has_counter and self.pace.free(self.now_ns, saved)
+        return self.settings.has_counter and self.pace.is_free(self.now_ns, saved)
 
     def count(self, customer: Account, request_id: int, units: float) -> None:
         """Call the counter with these units and all local spends since the last call."""
         self.last_call = call = self.last_call + 1
-        question = self.questions[call] = customer.ask(self.now_ns, request_id, units, call)
-        self.pace.call()
-        amount = question.amount + question.mark
+        question = self.questions[call] = customer.start_call(self.now_ns, request_id, units, call)
+        self.pace.on_call()
+        amount = question.amount + question.digit_amount
         self.actions.append(api.Count(question.name, amount, customer.window_ns, call))
 
     def charge(self, work: Work) -> None:
@@ -208,32 +212,37 @@
         customer, work.charged, work.from_slice = work.customer, work.units, True
         customer.bucket.reserve(work.units)
         customer.charge(self.now_ns, work.units)
-        if customer.wants_to_tell() and self.may_call(CALLS_SAVED / 2):
+        if customer.is_report_due() and self.may_call(CALLS_SAVED / 2):
             self.count(customer, -1, 0.0)
 
     def give_back(self, work: Work) -> None:
         """What was charged for a request of which nothing was sent belongs to its customer again."""
         units, work.charged = work.charged, 0.0
         if units and not work.attempts:
-            work.customer.give_back(self.now_ns, units, work.from_slice)
+            work.customer.refund(self.now_ns, units, work.from_slice)
 
     def on_beat(self) -> None:
         """Answer the roll, tell the peers that this limiter lives, and look at the state of the counter."""
         self.timer(BEAT_NS, self.on_beat, True)
-        if self.roll.used or self.weather.silent(self.now_ns):  # a silent counter is asked whether it is back
-            beat = self.roll.beat(self.now_ns)
+        # A silent counter is asked whether it is back.
+        if self.roll.enabled or self.weather.is_silent(self.now_ns):
+            beat = self.roll.next_heartbeat(self.now_ns)
             self.last_call = call = self.last_call + 1
-            self.beats = {call: beat, **{old: b for old, b in self.beats.items() if b is self.roll.out}}
+            self.beats = {call: beat, **{old: b for old, b in self.beats.items() if b is self.roll.pending}}
             self.actions.append(api.Count(beat.name, beat.amount, 2 * EPOCH_NS, call))
-        if self.settings.may_tell and self.roll.used:
-            self.actions += [api.Tell(other, WORD) for other in self.roll.listeners()]
-        if self.weather.look(self.now_ns, bool(self.roll.split)):
+        if self.settings.may_tell and self.roll.enabled:
+            self.actions += [api.Tell(other, WORD) for other in self.roll.recipients()]
+        if self.weather.update_state(self.now_ns, bool(self.roll.split)):
             self.actions.append(api.Log(self.report().line()))
 
     def begin_to_teach(self) -> None:
         """After silence or a replacement: what the counter does not know of this limiter's customers."""
         teaching = bool(self.untaught)
-        lately = [c for c in self.customers.values() if c.told_lately(self.now_ns) or c.unreported >= c.least]
+        lately = [
+            c
+            for c in self.customers.values()
+            if c.has_reported_in_window(self.now_ns) or c.unreported >= c.min_report_units
+        ]
         self.untaught = lately[-MOST_TAUGHT:]
         if not teaching:
             self.teach()
@@ -245,23 +254,26 @@
         if not self.untaught:
             return
         customer = self.untaught.pop()
-        news = customer.heard_ns < self.weather.replaced_ns or customer.unreported >= customer.least
-        if news and not customer.calls and self.may_call(1.0):
+        news = (
+            customer.answered_ns < self.weather.replaced_ns
+            or customer.unreported >= customer.min_report_units
+        )
+        if news and not customer.open_calls and self.may_call(1.0):
             self.count(customer, -1, 0.0)
-        self.timer(self.pace.gap_ns * self.random.uniform(1, 2), self.teach, True)
+        self.timer(self.pace.interval_ns * self.random.uniform(1, 2), self.teach, True)
 
     def call_ended(self, heard: bool) -> None:
-        back = heard and self.weather.silent(self.now_ns)
-        self.weather.ended(self.now_ns, heard)
+        back = heard and self.weather.is_silent(self.now_ns)
+        self.weather.on_result(self.now_ns, heard)
         if back:
-            self.pace.back(self.now_ns)
+            self.pace.on_recovered(self.now_ns)
             self.begin_to_teach()
 
     def on_word(self, event: api.PeerMessage) -> None:
         if event.payload == WORD:
-            self.roll.word(self.now_ns, event.sender)
+            self.roll.on_message(self.now_ns, event.sender)
         else:
-            self.spent.heard(self.now_ns, event.payload)
+            self.spent.on_message(self.now_ns, event.payload)
 
     def report(self) -> api.Report:
         """The state of the counter, since when, and the bound on the overrun of each plan's customers."""
@@ -272,49 +284,49 @@
         """Tell the others of a large set that the counter refused what their slices cannot hold either."""
         rank = work.plan.rate * work.plan.price / max(p.rate * p.price for p in self.settings.plans)
         customer = work.customer
-        if customer.set_size <= GROUP or customer.bucket.max_permits >= work.units or customer.room >= 1:
+        if customer.set_size <= GROUP or customer.bucket.max_permits >= work.units or customer.balance >= 1:
             return
-        if word := self.spent.refused(self.now_ns, customer.name, rank):
+        if word := self.spent.on_refused(self.now_ns, customer.name, rank):
             self.actions.append(api.Tell(None, word))
 
     def on_counted(self, event: api.Counted) -> None:
         if beat := self.beats.pop(event.call, None):
             heard = event.outcome is Outcome.OK and math.isfinite(event.total)
             self.call_ended(heard)
-            if heard and self.roll.heard(self.now_ns, beat, event.total):
+            if heard and self.roll.on_answer(self.now_ns, beat, event.total):
                 self.weather.replaced_ns = self.now_ns
                 self.begin_to_teach()
             elif event.outcome in NEVER_RAN:
-                self.roll.not_added(beat)
+                self.roll.on_rejected(beat)
             return
         if (question := self.questions.pop(event.call, None)) is None:
             return
         customer, work = question.account, self.work.get(question.request_id)
         heard = event.outcome is Outcome.OK and math.isfinite(event.total)
-        waits = work is not None and work.asking and question.fate is Fate.OUT
-        doubted, handed = bool(customer.doubts), customer.handed
-        if question.fate is Fate.OUT:
-            self.pace.ended(event.outcome is Outcome.OK)
+        waits = work is not None and work.asking and question.status is CallStatus.IN_FLIGHT
+        doubted, handed = bool(customer.uncertain_calls), customer.carried_over
+        if question.status is CallStatus.IN_FLIGHT:
+            self.pace.on_result(event.outcome is Outcome.OK)
             self.call_ended(heard)
-        if heard and customer.heard(self.now_ns, question, event.total):
+        if heard and customer.on_answer(self.now_ns, question, event.total):
             if work and waits:
                 work.charged, work.from_slice, waits = question.units, False, False
                 self.send(work)
             else:
-                customer.give_back(self.now_ns, question.units, False)  # the client has gone meanwhile
+                customer.refund(self.now_ns, question.units, False)  # the client has gone meanwhile
         elif event.outcome in NEVER_RAN:
-            customer.not_added(question)
-        elif not heard and question.fate is Fate.OUT:
-            customer.missed(self.now_ns, question)
+            customer.on_rejected(question)
+        elif not heard and question.status is CallStatus.IN_FLIGHT:
+            customer.on_timeout(self.now_ns, question)
             self.questions[event.call] = question  # its answer may come late
             oldest = next(iter(self.questions))
-            if len(self.questions) > LATE_CALLS and self.questions[oldest].fate is not Fate.OUT:
+            if len(self.questions) > LATE_CALLS and self.questions[oldest].status is not CallStatus.IN_FLIGHT:
                 del self.questions[oldest]
-        elif heard and work and question.fate is Fate.ENDED and self.settings.may_tell:
+        elif heard and work and question.status is CallStatus.RESOLVED and self.settings.may_tell:
             self.tell_spent(work)
         # Guards against ending with a debt untold that the others take for handed on.
-        doubted = doubted or customer.handed > handed
-        again = customer.wants_back() or (doubted and customer.wants_to_tell())
+        doubted = doubted or customer.carried_over > handed
+        again = customer.has_refund_to_report() or (doubted and customer.is_report_due())
         if heard and again and self.may_call(1.0):
             self.count(customer, -1, 0.0)
         if work and waits:
@@ -327,11 +339,11 @@
             return self.send(work)  # beyond the quota it earns more than it costs, and there is room
         customer.bucket.resync(self.now_ns)
         wait_ns = customer.bucket.next_free_ticket_ns - self.now_ns
-        if customer.total is not None and not self.weather.silent(self.now_ns):
+        if customer.total is not None and not self.weather.is_silent(self.now_ns):
             short = work.units - customer.refill(self.now_ns)
             wait_ns = max(wait_ns, round(short / customer.rate * SECOND_NS))
-        if customer.bucket.max_permits < work.units and not self.weather.silent(self.now_ns):
-            wait_ns = max(wait_ns, self.spent.wait_ns(self.now_ns, customer.name))
+        if customer.bucket.max_permits < work.units and not self.weather.is_silent(self.now_ns):
+            wait_ns = max(wait_ns, self.spent.remaining_ns(self.now_ns, customer.name))
         if wait_ns > HOLD_AIM * (work.aim_ns - self.now_ns):
             return self.refuse(work, wait_ns)
         self.charge(work)  # told now, so that nobody grants it meanwhile
@@ -449,7 +461,7 @@
         self.flights[(request_id, number)] = server.out[(request_id, number)] = attempt
         work.attempts.append(attempt)
         self.young[index].append(attempt)
-        work.customer.open += 1
+        work.customer.open_attempts += 1
         # Guards against a request waiting for its life at an address where nobody may be: it has time for
         # another.
         doubted = server.entry.trust is not Trust.TOLD and work.kind.repeat is Repeat.SAFE
@@ -491,7 +503,7 @@
         if event.outcome is Outcome.OK and in_time:
             self.sample(False, attempt.sent_ns)
         self.observe(attempt, event)
-        attempt.customer.open -= 1
+        attempt.customer.open_attempts -= 1
         if event.outcome is Outcome.OK and event.settled_units:  # bucket and count get the difference
             more = event.settled_units - attempt.units
             attempt.customer.bucket.resync(self.now_ns)
--- a/aniseshed/sequence_digits.py
+++ b/aniseshed/sequence_digits.py
@@ -24,7 +24,7 @@
 FINEST = 32.0  # quanta that a burst has at the least, or digits of base 4 give way to bits
 
 
-def place(index: int, limiters: int, size: int) -> tuple[int, int]:
+def assign_digit(index: int, limiters: int, size: int) -> tuple[int, int]:
     """Which digit is limiter ``index``'s, and how many there are: any ``size`` limiters in a row differ.
 
     Counted within blocks of ``size`` limiters or some more (a colouring of the power of a cycle), wherever a
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Marks:
+class SequenceDigits:
     """The grid of one customer's totals.
 
     ``weight`` is one of this limiter's digit and ``quantum`` the least amount counted, both in units of the
@@ -49,7 +49,7 @@
     base: int
 
     @classmethod
-    def of(cls, burst: float, position: int, size: int) -> Marks | None:
+    def for_burst(cls, burst: float, position: int, size: int) -> SequenceDigits | None:
         """The grid for ``size`` digits; None where there is no room.
 
         ``position`` is this limiter's digit, from 0; one outside has none."""
@@ -61,7 +61,7 @@
         weight = step * float(base) ** position if 0 <= position < size else 0.0
         return cls(step, weight, step * float(base) ** size, span, base)
 
-    def next(self, digit: int, knows: bool) -> int:
+    def next_digit(self, digit: int, knows: bool) -> int:
         """What a marked call turns a digit to: 1, 0, 1 ... with base 2.
 
         With base 4 it is 1, 2, 1 ...: a count that began at zero differs from any that was marked.  It is
@@ -70,7 +70,7 @@
             return 1 - digit if self.base == 2 else 0
         return 3 - digit if digit else 1 if knows else 3
 
-    def led(self, total: float, digit: int) -> bool:
+    def others_knew(self, total: float, digit: int) -> bool:
         """Whether another limiter's mark shows one that knew the customer before; base 2 cannot tell."""
         steps = round((total - digit * self.weight) / self.step) % round(self.quantum / self.step)
         return self.base == 2 or any(steps >> 2 * place & 3 in (1, 2) for place in range(MOST_LIMITERS))
@@ -79,7 +79,7 @@
         """The least multiple of the quantum that holds these units."""
         return math.ceil(units / self.quantum - 1e-6) * self.quantum
 
-    def read(self, total: float) -> tuple[float, int | None]:
+    def decode(self, total: float) -> tuple[float, int | None]:
         """A total without marks, in units, and this limiter's digit; None where the total is too coarse."""
         steps = round(total / self.step)
         if abs(total) > 2 * self.span or abs(total / self.step - steps) > OFF_GRID:
--- a/tests/counter_model.py
+++ b/tests/counter_model.py
@@ -16,7 +16,7 @@
 from aniseshed import interface as api
 from aniseshed.account import REPORT_SHARE, WINDOW_BURSTS
 from aniseshed.bound import bound_units
-from aniseshed.counter_health import State
+from aniseshed.counter_health import CounterState
 
 STEP_NS = 25 * MS
 TIMEOUT_NS = 30 * MS
@@ -105,15 +105,15 @@
         self.pending = [item for item in self.pending if item[1] is not gone]
         self.waiting = [item for item in self.waiting if item[0] is not gone]
 
-    def bound(self, state: State) -> float:
+    def bound(self, state: CounterState) -> float:
         return bound_units(state, *self.plan, float(self.limiters), 1.0, REPORT_SHARE, TIMEOUT_NS)
 
-    def allowed(self, state: State, since_ns: int) -> float:
+    def allowed(self, state: CounterState, since_ns: int) -> float:
         """Units beyond the quota after one change at ``since_ns``, as ``bound_units`` states it: with what
         each window may hide that has begun since, and what the one before had hidden already."""
         window_ns = WINDOW_BURSTS * self.plan[1] / self.plan[0] * SECOND
         windows = 1 + max(0, math.ceil((self.now_ns - since_ns) / window_ns) - 1)
-        return self.bound(state) + windows * self.bound(State.WELL)
+        return self.bound(state) + windows * self.bound(CounterState.HEALTHY)
 
     def run(self, seconds: float) -> None:
         end_ns = self.now_ns + round(seconds * SECOND)
@@ -166,7 +166,7 @@
             while calls := bench.beats or bench.unanswered:
                 self.call(index, bench, calls.pop(0))
             for account in bench.limiter.customers.values():
-                assert abs(account.check()) < 1e-6, "the books do not balance"
+                assert abs(account.imbalance()) < 1e-6, "the books do not balance"
         self.steps += 1
         still = []
         for bench, request_id in self.waiting:
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -8,7 +8,7 @@
 from quota_model import Tally, play
 
 from aniseshed import interface as api
-from aniseshed.account import Account, Question, SmoothBursty
+from aniseshed.account import Account, CounterCall, SmoothBursty
 
 PLAN = SETTINGS.plans[0]  # 10 units a second, 20 at most
 WINDOW_NS = 5 * SECOND
@@ -172,25 +172,25 @@
     charged = account.charged
     bench.feed(api.HungUp(asked))
     bench.counted(sum(c.amount for c in bench.counts))
-    assert account.charged == charged and abs(account.check()) < 1e-6
+    assert account.charged == charged and abs(account.imbalance()) < 1e-6
     assert not bench.was_sent(asked)
 
 
 def test_what_was_asked_in_one_window_is_not_taken_back_from_the_next() -> None:
     now_ns = START
-    account = Account.fresh(now_ns, 1, 2.0, (10.0, 20.0), (0.0, 0.0))
-    question = account.ask(now_ns, 5, 4.0)
-    assert not account.heard(now_ns, question, 500.0) and account.unreported == -4.0
+    account = Account.create(now_ns, 1, 2.0, (10.0, 20.0), (0.0, 0.0))
+    question = account.start_call(now_ns, 5, 4.0)
+    assert not account.on_answer(now_ns, question, 500.0) and account.unreported == -4.0
     later_ns = now_ns + account.window_ns
-    assert account.ask(later_ns, 6, 1.0).amount == 1.0 and account.forgotten == 4.0
-    assert abs(account.check()) < 1e-9
+    assert account.start_call(later_ns, 6, 1.0).amount == 1.0 and account.expired == 4.0
+    assert abs(account.imbalance()) < 1e-9
 
 
 def test_an_answer_from_an_older_window_grants_nothing_and_is_not_taken_back_from_this_one() -> None:
-    account = Account.fresh(START, 1, 2.0, (10.0, 20.0), (0.0, 0.0))
-    question = account.ask(START, 5, 4.0)
-    assert not account.heard(START + account.window_ns, question, 4.0)
-    assert account.unreported == 0.0 and account.forgotten == 4.0 and abs(account.check()) < 1e-9
+    account = Account.create(START, 1, 2.0, (10.0, 20.0), (0.0, 0.0))
+    question = account.start_call(START, 5, 4.0)
+    assert not account.on_answer(START + account.window_ns, question, 4.0)
+    assert account.unreported == 0.0 and account.expired == 4.0 and abs(account.imbalance()) < 1e-9
 
 
 def total_held(bench: Bench) -> float:
@@ -244,11 +244,11 @@
                     first[n].add(request_id)
                     sent[n] += units[n][request_id]
             accounts = other.limiter.customers.values()
-            assert all(abs(account.check()) < 1e-6 for account in accounts), f"seed {seed}"
+            assert all(abs(account.imbalance()) < 1e-6 for account in accounts), f"seed {seed}"
             charged = sum(account.charged for account in accounts)
             assert charged == pytest.approx(sent[n] + total_held(other)), f"seed {seed}"
 
 
 def test_a_question_knows_its_amount() -> None:
-    account = Account.fresh(START, 1, 2.0, (10.0, 20.0), (0.0, 0.0))
-    assert Question(account, 1, 2, units=3.0, local=1.5).amount == 4.5
+    account = Account.create(START, 1, 2.0, (10.0, 20.0), (0.0, 0.0))
+    assert CounterCall(account, 1, 2, units=3.0, local_units=1.5).amount == 4.5
--- a/tests/test_counter_lost.py
+++ b/tests/test_counter_lost.py
@@ -12,34 +12,43 @@
 
 from aniseshed import interface as api
 from aniseshed.account import Account
-from aniseshed.counter_health import SILENT_WAITS, State, Weather
-from aniseshed.partition import ABSENT_BEATS, BASE, BEAT_NS, EPOCH_NS, GROUP, RETURN_BEATS, Beat, Roll
+from aniseshed.counter_health import SILENT_WAITS, CounterHealth, CounterState
+from aniseshed.partition import (
+    ABSENT_BEATS,
+    BASE,
+    BEAT_NS,
+    EPOCH_NS,
+    GROUP,
+    RETURN_BEATS,
+    Heartbeat,
+    PartitionDetector,
+)
 
 PREMIUM, STANDARD, BASIC = (25.0, 47.0), (4.6, 19.0), (1.0, 4.0)
 
 
-def trouble(world: World, kind: str) -> State:
+def trouble(world: World, kind: str) -> CounterState:
     """One trouble from its beginning to its end; the state whose bound it falls under."""
     counter = world.counter
     if kind == "split":
         counter.split()
         world.run(world.chance.uniform(5, 25))
         counter.heal()
-        return State.SPLIT
+        return CounterState.SPLIT
     if kind == "flap":
         world.flap(1, world.chance.choice((1.0, 3.0, 7.0)), 25.0)
-        return State.SPLIT
+        return CounterState.SPLIT
     if kind == "fresh":
         counter.replace()
         if world.chance.random() < 0.5:  # twice within one window
             world.run(world.chance.uniform(0.1, 2))
             counter.replace()
-        return State.REPLACED
+        return CounterState.REPLACED
     if kind == "snapshot":
         counter.keep()
         world.run(world.chance.uniform(0.5, 3))
         counter.restore()
-        return State.REPLACED
+        return CounterState.REPLACED
     if kind == "restart":
         world.counter.mode = {"swallowed": 1.0}
         world.run(1.0)
@@ -52,7 +61,7 @@
         }[kind]  # fmt: skip
         world.run(world.chance.uniform(3, 15))
     counter.mode = {}
-    return State.SILENT
+    return CounterState.SILENT
 
 
 KINDS = ("split", "flap", "fresh", "snapshot", "silent", "deaf", "late", "busy", "mixed", "restart")
@@ -95,7 +104,7 @@
     world.begin()
     world.run(40)
     windows = 40 / (2.5 * PREMIUM[1] / PREMIUM[0]) + 1
-    assert -world.lowest <= windows * (world.bound(State.WELL) + PREMIUM[0] * skew_ms / 1000)
+    assert -world.lowest <= windows * (world.bound(CounterState.HEALTHY) + PREMIUM[0] * skew_ms / 1000)
     assert -world.lowest <= (0.03 if skew_ms == 0 else 0.07) * PREMIUM[0] * 40
 
 
@@ -109,7 +118,7 @@
         world.flap(1, flap_s, 45.0)
         assert world.sent - before >= 0.6 * plan[0] * 45.0, f"{flap_s} s, plan {plan}, seed {seed}"
         world.run(12)
-        assert -world.lowest <= world.bound(State.SPLIT) + world.bound(State.WELL), (
+        assert -world.lowest <= world.bound(CounterState.SPLIT) + world.bound(CounterState.HEALTHY), (
             f"{flap_s} s, plan {plan}, seed {seed}"
         )
 
@@ -145,7 +154,7 @@
     world.shift_ns = 1 << 62
     world.run(8)
     assert not any(bench.limiter.roll.split for bench in world.benches) and dead
-    assert world.benches[0].limiter.customers[1].part == 1.0
+    assert world.benches[0].limiter.customers[1].quota_share == 1.0
 
 
 def test_where_limiters_may_not_speak_who_does_not_answer_the_roll_is_taken_for_split() -> None:
@@ -156,7 +165,7 @@
     world.weights, world.shift_ns = [1.0, 1.0], 1 << 62
     world.run(8)
     assert world.benches[0].limiter.roll.split == {2}
-    assert world.benches[0].limiter.customers[1].part == pytest.approx(2 / 3)
+    assert world.benches[0].limiter.customers[1].quota_share == pytest.approx(2 / 3)
 
 
 def test_a_fresh_counter_is_taught_before_a_newcomer_grants() -> None:
@@ -185,46 +194,46 @@
         while bench.unanswered:
             bench.counted(0.0, api.Outcome.TIMEOUT)
         bench.advance(round(SILENT_WAITS * SETTINGS.counter_timeout_ns))
-    assert bench.limiter.weather.silent(bench.now)
+    assert bench.limiter.weather.is_silent(bench.now)
     bench.ask()
-    assert account.bucket.stored_permits <= max(0.0, account.room) / 2 + 1e-6
+    assert account.bucket.stored_permits <= max(0.0, account.balance) / 2 + 1e-6
 
 
 # The roll
 
 
-def turn(rolls: list[Roll], total: float, now_ns: int, skip: tuple[int, ...] = ()) -> float:
+def turn(rolls: list[PartitionDetector], total: float, now_ns: int, skip: tuple[int, ...] = ()) -> float:
     for roll in rolls:
         if roll.index not in skip:
-            beat = roll.beat(now_ns)
+            beat = roll.next_heartbeat(now_ns)
             total += beat.amount
-            assert not roll.heard(now_ns, beat, total)
+            assert not roll.on_answer(now_ns, beat, total)
     return total
 
 
 def test_digits_never_carry_and_everyone_is_seen() -> None:
-    rolls = [Roll(n, GROUP, START - 2 * EPOCH_NS, True) for n in range(GROUP)]
+    rolls = [PartitionDetector(n, GROUP, START - 2 * EPOCH_NS, True) for n in range(GROUP)]
     total = 0.0
     for beat in range(25):
         total = turn(rolls, total, START + beat * BEAT_NS // 2)
         assert 0 <= total < BASE**GROUP
         for roll in rolls:
-            roll.word(START + beat * BEAT_NS // 2, (roll.index + 1) % GROUP)
+            roll.on_message(START + beat * BEAT_NS // 2, (roll.index + 1) % GROUP)
     assert not any(roll.split for roll in rolls)
 
 
 def test_a_number_that_stays_below_zero_is_one_loss_and_not_one_each_beat() -> None:
-    rolls = [Roll(n, 2, START - 2 * EPOCH_NS, True) for n in range(2)]
+    rolls = [PartitionDetector(n, 2, START - 2 * EPOCH_NS, True) for n in range(2)]
     total, losses = 0.0, 0
     for beat in range(12):
         now_ns = 34 * EPOCH_NS + beat * BEAT_NS
         if beat == 5:
             total = -1.0 - BASE  # a healed split: the turns of the other side in this one's number
         for roll in rolls:
-            turn_of = roll.beat(now_ns)
+            turn_of = roll.next_heartbeat(now_ns)
             total += turn_of.amount
-            losses += roll.heard(now_ns, turn_of, total)
-    assert total < BASE**2 and 1 <= losses <= 2 and not rolls[0].split and rolls[0].quiet_ns == 0
+            losses += roll.on_answer(now_ns, turn_of, total)
+    assert total < BASE**2 and 1 <= losses <= 2 and not rolls[0].split and rolls[0].read_only_until_ns == 0
 
 
 @settings(max_examples=12, deadline=None, derandomize=True, print_blob=True)
@@ -241,7 +250,7 @@
     world = World(seed, limiters, plan, 1.7)
     world.run(6)
     world.begin()
-    bound = world.bound(State.WELL)
+    bound = world.bound(CounterState.HEALTHY)
     for kind in kinds:
         bound += world.bound(trouble(world, kind)) + (plan[1] if kind == "restart" else 0.0)
         world.run(world.chance.uniform(0.2, 4))
@@ -252,7 +261,7 @@
 def test_one_that_returns_counts_when_nobody_is_left_on_the_side_it_left_or_it_was_missed_there(
     returning: list[int], waits: float
 ) -> None:
-    rolls = [Roll(n, 4, START - 2 * EPOCH_NS, True) for n in range(4)]
+    rolls = [PartitionDetector(n, 4, START - 2 * EPOCH_NS, True) for n in range(4)]
     total, back = 0.0, 0
     for beat in range(30):
         now_ns = 34 * EPOCH_NS + beat * BEAT_NS
@@ -261,7 +270,7 @@
         for roll in rolls:
             for other in range(4):
                 if other != roll.index:
-                    roll.word(now_ns, other)
+                    roll.on_message(now_ns, other)
         if beat == 11:
             assert rolls[0].split == rolls[1].split == {2, 3}
         back = back or (beat if beat >= 12 and 2 not in rolls[0].split else 0)
@@ -272,7 +281,7 @@
 @pytest.mark.parametrize("words_end", [3, 12])
 def test_a_split_that_takes_the_words_with_it_is_no_death(words_end: int) -> None:
     """At the same time, or when it is known already: the other side may spend all the same."""
-    rolls = [Roll(n, 4, START - 2 * EPOCH_NS, True) for n in range(4)]
+    rolls = [PartitionDetector(n, 4, START - 2 * EPOCH_NS, True) for n in range(4)]
     totals = [0.0, 0.0]
     for beat in range(30):
         now_ns = 34 * EPOCH_NS + beat * BEAT_NS
@@ -283,14 +292,14 @@
         for roll in rolls:
             for other in range(4):
                 if beat <= words_end or other // 2 == roll.index // 2:
-                    roll.word(now_ns, other)
+                    roll.on_message(now_ns, other)
         if beat > 3 + ABSENT_BEATS + 1:
             assert [sorted(roll.split) for roll in rolls] == [[2, 3], [2, 3], [0, 1], [0, 1]]
 
 
 def test_limiters_that_were_never_heard_of_are_not_taken_for_cut_off() -> None:
     """The first of three to start is alone for a while, and owes nobody a part."""
-    rolls = [Roll(n, 3, START - 2 * EPOCH_NS, True) for n in range(3)]
+    rolls = [PartitionDetector(n, 3, START - 2 * EPOCH_NS, True) for n in range(3)]
     total = 0.0
     for beat in range(20):
         total = turn(rolls[:1] if beat < 8 else rolls, total, 34 * EPOCH_NS + beat * BEAT_NS)
@@ -298,61 +307,63 @@
 
 
 def test_one_that_has_just_started_is_not_taken_for_split_before_it_can_answer() -> None:
-    rolls = [Roll(n, 2, START - 2 * EPOCH_NS, True) for n in range(2)]
+    rolls = [PartitionDetector(n, 2, START - 2 * EPOCH_NS, True) for n in range(2)]
     total = 0.0
     for beat in range(20):
         now_ns = START + beat * BEAT_NS
         total = turn(rolls if beat < 5 or beat >= 11 else rolls[:1], total, now_ns)
         if beat < 5 or beat >= 10:  # its word is there a beat before its digit moves
-            rolls[0].word(now_ns, 1)
+            rolls[0].on_message(now_ns, 1)
         assert not rolls[0].split
 
 
 def test_a_swallowed_turn_is_no_loss_and_a_lost_number_is() -> None:
-    roll = Roll(0, 2, START - 2 * EPOCH_NS, True)
-    first = roll.beat(START)
-    assert first.amount == 1.0 and not roll.heard(START, first, 1.0)
-    roll.beat(START + BEAT_NS)  # no answer
-    reading = roll.beat(START + 2 * BEAT_NS)
-    assert reading.amount == 0.0 and not roll.heard(START + 2 * BEAT_NS, reading, 1.0)
-    again = roll.beat(START + 3 * BEAT_NS)
-    assert roll.heard(START + 3 * BEAT_NS, again, 1.0)  # from zero: what stood there is gone
+    roll = PartitionDetector(0, 2, START - 2 * EPOCH_NS, True)
+    first = roll.next_heartbeat(START)
+    assert first.amount == 1.0 and not roll.on_answer(START, first, 1.0)
+    roll.next_heartbeat(START + BEAT_NS)  # no answer
+    reading = roll.next_heartbeat(START + 2 * BEAT_NS)
+    assert reading.amount == 0.0 and not roll.on_answer(START + 2 * BEAT_NS, reading, 1.0)
+    again = roll.next_heartbeat(START + 3 * BEAT_NS)
+    assert roll.on_answer(START + 3 * BEAT_NS, again, 1.0)  # from zero: what stood there is gone
 
 
 def test_a_predecessors_digit_is_read_before_it_is_turned() -> None:
-    roll = Roll(1, 2, START, True)
-    reading = roll.beat(START)
-    assert reading.amount == 0.0 and not roll.heard(START, reading, 3.0 * BASE)
-    assert roll.beat(START + BEAT_NS).amount == -2.0 * BASE
-    assert not roll.heard(START, Beat(1, 0.0), 5.0)  # of another name
-    roll.word(START, 99)
-    assert roll.told_ns == {}
+    roll = PartitionDetector(1, 2, START, True)
+    reading = roll.next_heartbeat(START)
+    assert reading.amount == 0.0 and not roll.on_answer(START, reading, 3.0 * BASE)
+    assert roll.next_heartbeat(START + BEAT_NS).amount == -2.0 * BASE
+    assert not roll.on_answer(START, Heartbeat(1, 0.0), 5.0)  # of another name
+    roll.on_message(START, 99)
+    assert roll.message_ns == {}
 
 
 # The states
 
 
 def test_the_states_are_told_apart_and_told_once() -> None:
-    weather = Weather(30 * MS)
+    weather = CounterHealth(30 * MS)
     now = START
-    assert not weather.look(now, False) and weather.state is State.WELL
+    assert not weather.update_state(now, False) and weather.state is CounterState.HEALTHY
     for _ in range(12):
-        weather.ended(now, False)
+        weather.on_result(now, False)
         now += 30 * MS
-    assert weather.look(now, False) and weather.state is State.SILENT and weather.since_ns == now
-    assert not weather.look(now, False)
+    assert (
+        weather.update_state(now, False) and weather.state is CounterState.SILENT and weather.since_ns == now
+    )
+    assert not weather.update_state(now, False)
     for _ in range(30):
-        weather.ended(now, True)
-    assert weather.look(now, False) and weather.state is State.BACK
+        weather.on_result(now, True)
+    assert weather.update_state(now, False) and weather.state is CounterState.RECOVERED
     now += 11 * SECOND
-    assert weather.look(now, False) and weather.state is State.WELL
+    assert weather.update_state(now, False) and weather.state is CounterState.HEALTHY
     weather.replaced_ns = now
-    assert weather.look(now, False) and weather.state is State.REPLACED
-    assert weather.look(now, True) and weather.state is State.SPLIT
+    assert weather.update_state(now, False) and weather.state is CounterState.REPLACED
+    assert weather.update_state(now, True) and weather.state is CounterState.SPLIT
     now += 30 * SECOND
     for n in range(40):
-        weather.ended(now, n % 4 == 0)
-    assert weather.look(now, False) and weather.state is State.SLOW
+        weather.on_result(now, n % 4 == 0)
+    assert weather.update_state(now, False) and weather.state is CounterState.SLOW
 
 
 def test_the_report_names_state_bound_and_who_is_away() -> None:
@@ -362,35 +373,35 @@
     world.counter.split()
     world.run(6)
     told = world.benches[0].limiter.report()
-    assert told.state is State.SPLIT and told.away == (1, 3)
-    assert told.bound_units == (pytest.approx(world.bound(State.SPLIT)),)
+    assert told.state is CounterState.SPLIT and told.away == (1, 3)
+    assert told.bound_units == (pytest.approx(world.bound(CounterState.SPLIT)),)
 
 
 # The books, guard by guard
 
 
-def account(position: int = 9, weather: Weather | None = None) -> Account:
+def account(position: int = 9, weather: CounterHealth | None = None) -> Account:
     """Of a set of two at 10 units a second and 20 at most; place 9 is outside it and has no digit."""
-    return Account.fresh(START, 1, 2.0, (10.0, 20.0), (0.0, 0.0), (position, 2), 1 << 60, weather)
+    return Account.create(START, 1, 2.0, (10.0, 20.0), (0.0, 0.0), (position, 2), 1 << 60, weather)
 
 
 def tell(one: Account, now_ns: int, units: float, total: float) -> None:
     one.charge(now_ns, units)
-    one.heard(now_ns, one.ask(now_ns, -1, 0.0, one.answered + 1), total)
+    one.on_answer(now_ns, one.start_call(now_ns, -1, 0.0, one.answered_call + 1), total)
 
 
 def test_in_silence_a_room_grows_by_the_slice_and_the_rest_comes_back_later() -> None:
-    weather = Weather(30 * MS)
+    weather = CounterHealth(30 * MS)
     one = account(weather=weather)
     one.spend(START, 20.0)
-    weather.ended(START, False)
+    weather.on_result(START, False)
     assert one.refill(START + SECOND) == pytest.approx(5.0)  # of 10: the other half is the other limiter's
-    weather.ended(START + SECOND, True)
-    assert one.withheld == pytest.approx(5.0)
+    weather.on_result(START + SECOND, True)
+    assert one.withheld_refill == pytest.approx(5.0)
     tell(one, START + 2 * SECOND, 0.0, 1.0)
-    assert one.withheld == pytest.approx(5.0)
+    assert one.withheld_refill == pytest.approx(5.0)
     tell(one, START + 4 * SECOND, 0.0, 1.0)
-    assert one.withheld == 0.0 and one.room == 20.0
+    assert one.withheld_refill == 0.0 and one.balance == 20.0
 
 
 def test_a_total_that_falls_further_than_can_be_taken_back_gives_no_room() -> None:
@@ -408,7 +419,7 @@
     later = START + SECOND
     before = one.refill(later)
     tell(one, later, 0.0, 0.0)
-    assert one.room == pytest.approx(before - 5.0) and one.unreported == pytest.approx(8.0)
+    assert one.balance == pytest.approx(before - 5.0) and one.unreported == pytest.approx(8.0)
 
 
 def test_on_another_side_what_stands_there_is_old_and_what_comes_is_news() -> None:
@@ -417,9 +428,9 @@
     one.rescale(START, 0.5)
     room = one.refill(START)
     tell(one, START, 0.0, 7.0)  # less than its own eight: another count
-    assert one.room == room and one.unreported == 0.0
+    assert one.balance == room and one.unreported == 0.0
     tell(one, START, 0.0, 10.0)
-    assert one.room == pytest.approx(room - 3.0)
+    assert one.balance == pytest.approx(room - 3.0)
 
 
 def test_a_replaced_counter_is_taught_without_being_asked() -> None:
--- a/tests/test_exhausted_quotas.py
+++ b/tests/test_exhausted_quotas.py
@@ -10,7 +10,7 @@
 
 from aniseshed import interface as api
 from aniseshed.account import SmoothBursty
-from aniseshed.exhausted_quotas import KIND, MOST_KNOWN, SPENT_NS, WORDS_SAVED, Spent
+from aniseshed.exhausted_quotas import KIND, MOST_KNOWN, SPENT_NS, WORDS_SAVED, ExhaustedQuotas
 
 TOLD = replace(FLEET, may_tell=True)
 BASIC, PREMIUM = 0, 2
@@ -115,27 +115,27 @@
 def test_while_the_counter_is_silent_the_slice_alone_decides() -> None:
     bench = without_calls()
     bench.feed(api.PeerMessage(3, word(7)))
-    bench.limiter.weather.unheard_ns = bench.now - SECOND
-    assert bench.limiter.weather.silent(bench.now)
+    bench.limiter.weather.first_miss_ns = bench.now - SECOND
+    assert bench.limiter.weather.is_silent(bench.now)
     assert bench.was_sent(answered(bench, customer=7))
 
 
 def test_the_plan_that_loses_most_is_told_of_first() -> None:
-    spent = Spent(SmoothBursty(START, 0.1, WORDS_SAVED, 1.0))
-    assert spent.refused(START, 1, 0.04) is None, "the cheapest wait until all words are saved"
-    assert spent.refused(START, 2, 1.0) == word(2)
-    assert spent.refused(START, 3, 1.0) is None, "one in ten seconds"
-    assert spent.refused(START + 40 * SECOND, 1, 0.04) == word(1)
+    spent = ExhaustedQuotas(SmoothBursty(START, 0.1, WORDS_SAVED, 1.0))
+    assert spent.on_refused(START, 1, 0.04) is None, "the cheapest wait until all words are saved"
+    assert spent.on_refused(START, 2, 1.0) == word(2)
+    assert spent.on_refused(START, 3, 1.0) is None, "one in ten seconds"
+    assert spent.on_refused(START + 40 * SECOND, 1, 0.04) == word(1)
 
 
 def test_noise_is_passed_over_and_what_is_known_stays_bounded() -> None:
-    spent = Spent(SmoothBursty(START, 0.1, WORDS_SAVED, 1.0))
+    spent = ExhaustedQuotas(SmoothBursty(START, 0.1, WORDS_SAVED, 1.0))
     for payload in (b"", b"S", b"S1234", b"S123456", b"here!!", bytes(6), word(7)[::-1]):
-        spent.heard(START, payload)
-    assert not spent.until_ns
+        spent.on_message(START, payload)
+    assert not spent.expires_ns
     for customer in range(MOST_KNOWN + 100):
-        spent.heard(START, word(customer))
-    assert len(spent.until_ns) == MOST_KNOWN and spent.wait_ns(START, 0) == 0
+        spent.on_message(START, word(customer))
+    assert len(spent.expires_ns) == MOST_KNOWN and spent.remaining_ns(START, 0) == 0
     for n in range(MOST_KNOWN):
-        spent.heard(START + SPENT_NS + n, word(MOST_KNOWN + 100 + n % 2))
-    assert len(spent.until_ns) <= 3
+        spent.on_message(START + SPENT_NS + n, word(MOST_KNOWN + 100 + n % 2))
+    assert len(spent.expires_ns) <= 3
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -124,7 +124,7 @@
     bench.advance(200 * MS)  # into the next window
     bench.ask(units=4.0)
     bench.counted(bench.unanswered[0].amount)  # nobody else has called yet
-    assert bench.limiter.customers[1].handed > 10 and bench.unanswered[0].amount > 10  # at once
+    assert bench.limiter.customers[1].carried_over > 10 and bench.unanswered[0].amount > 10  # at once
 
 
 def test_hundreds_of_servers_and_absurd_sets_raise_nothing() -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -75,7 +75,9 @@
             nodes = [Node(read(told(ports, own), {}), loop) for own in range(2)]
             for node in nodes:
                 await node.start()
-            await until(lambda: nodes[1].limiter.roll.told_ns.get(0) and nodes[0].limiter.roll.told_ns.get(1))
+            await until(
+                lambda: nodes[1].limiter.roll.message_ns.get(0) and nodes[0].limiter.roll.message_ns.get(1)
+            )
             nodes[0].report()
             for node in nodes:
                 node.close()
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -132,12 +132,12 @@
     for _ in range(8):
         bench.ask()
     bench.answer_counts()
-    room = bench.limiter.customers[1].room
+    room = bench.limiter.customers[1].balance
     told = len(bench.counts)
     while len(bench.counts) == told:
         bench.ask()
     bench.counted(bench.counts[-1].amount)  # all that went before is forgotten
-    assert bench.limiter.customers[1].room < room
+    assert bench.limiter.customers[1].balance < room
 
 
 def test_a_customer_seen_seldom_here_is_not_believed_spent() -> None:
@@ -150,7 +150,7 @@
     for _ in range(3):
         bench.ask()
     bench.counted(sum(c.amount for c in bench.counts) + 30.0)
-    assert bench.limiter.customers[1].room > 10
+    assert bench.limiter.customers[1].balance > 10
 
 
 def test_idle_customers_age_out() -> None:
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -19,7 +19,7 @@
 
 from aniseshed.account import REPORT_SHARE
 from aniseshed.bound import bound_units
-from aniseshed.counter_health import State
+from aniseshed.counter_health import CounterState
 from hookport.rehearsal import PLAIN, RIVAL, Play, PlayError, command, judgement, mutants, page
 from hookport.rehearsal import plan as plans
 from hookport.rehearsal.fixtures import Rehearse
@@ -91,8 +91,8 @@
     assert judged.verdict == "kept", [b.text for b in judged.breaches[:5]] or judged.void
     quota = next(quota for quota in judged.plan.plans if quota.name == "premium")
     largest = max(desk.units[1] for desk in judged.plan.desk)
-    bound = bound_units(State.SPLIT, quota.rate, quota.burst, 4, largest, REPORT_SHARE, 30_000_000)
-    well = bound_units(State.WELL, quota.rate, quota.burst, 4, largest, REPORT_SHARE, 30_000_000)
+    bound = bound_units(CounterState.SPLIT, quota.rate, quota.burst, 4, largest, REPORT_SHARE, 30_000_000)
+    well = bound_units(CounterState.HEALTHY, quota.rate, quota.burst, 4, largest, REPORT_SHARE, 30_000_000)
     assert 0 < judged.score.debts["premium"] <= bound + well
     words = [row for row in judged.rows if row["e"] == "words"]
     assert len(words) == 4 and all(row["sent"] > 0 and row["busiest"] <= 40 for row in words)
--- a/tests/test_sequence_digits.py
+++ b/tests/test_sequence_digits.py
@@ -10,28 +10,28 @@
 from helpers import MS, SETTINGS, START, Bench
 
 from aniseshed import interface as api
-from aniseshed.account import Account, Fate, Question
-from aniseshed.sequence_digits import MOST_LIMITERS, Marks, place
+from aniseshed.account import Account, CallStatus, CounterCall
+from aniseshed.sequence_digits import MOST_LIMITERS, SequenceDigits, assign_digit
 
 QUOTA, NO_CEILING = (10.0, 20.0), (0.0, 0.0)
 LONG_NS = 10**12
 
 
 def account(position: int = 0, size: float = 2.0, lived_ns: int = LONG_NS) -> Account:
-    return Account.fresh(START, 1, size, QUOTA, NO_CEILING, (position, 2), lived_ns)
+    return Account.create(START, 1, size, QUOTA, NO_CEILING, (position, 2), lived_ns)
 
 
 @pytest.mark.parametrize("burst", [0.7, 6.0, 34.0, 165.0, 5e4])
 @pytest.mark.parametrize("size", range(1, MOST_LIMITERS + 1))
 def test_every_limiter_reads_its_own_bit_whatever_the_others_wrote(burst: float, size: int) -> None:
     chance = random.Random(size)
-    marks = [Marks.of(burst, position, size) for position in range(size)]
+    marks = [SequenceDigits.for_burst(burst, position, size) for position in range(size)]
     for _ in range(200):
         bits = [chance.randrange(marks[0].base) for _ in marks]  # type: ignore[union-attr]
         body = marks[0].quantum * chance.randint(-2, 2 + int(2 * burst / marks[0].quantum))  # type: ignore[union-attr]
         total = body + sum(m.weight * bit for m, bit in zip(marks, bits, strict=True))  # type: ignore[union-attr]
         for digits in (f"{total:.7g}", f"{total:.3f}"):
-            read = [m.read(float(digits)) for m in marks]  # type: ignore[union-attr]
+            read = [m.decode(float(digits)) for m in marks]  # type: ignore[union-attr]
             assert read == [(body, bit) for bit in bits]
 
 
@@ -39,21 +39,23 @@
 @pytest.mark.parametrize("size", [2, 3, 4])
 def test_a_mark_tells_who_knew_the_customer_before_from_who_is_new(burst: float, size: int) -> None:
     """The first is new.  One's own mark says nothing: each reads what the others left, for three turns."""
-    marks = [m for position in range(size) if (m := Marks.of(burst, position, size))]
+    marks = [m for position in range(size) if (m := SequenceDigits.for_burst(burst, position, size))]
     assert {m.base for m in marks} == {4}
     digits = [0] * size
     for _ in range(3):
-        digits = [m.next(digits[n], knows=n > 0) for n, m in enumerate(marks)]
+        digits = [m.next_digit(digits[n], knows=n > 0) for n, m in enumerate(marks)]
         for here in range(1, size + 1):
             present = list(zip(marks, digits, strict=True))[:here]
             total = 5 * marks[0].quantum + sum(m.weight * digit for m, digit in present)
-            assert [m.led(total, digit) for m, digit in present] == [here > 1] + [here > 2] * (here - 1)
+            assert [m.others_knew(total, digit) for m, digit in present] == [here > 1] + [here > 2] * (
+                here - 1
+            )
 
 
 @pytest.mark.parametrize("limiters", range(1, 25))
 def test_limiters_in_a_row_have_digits_of_their_own_wherever_the_row_begins(limiters: int) -> None:
     for size in range(1, limiters + 1):
-        digits = [place(index, limiters, size) for index in range(limiters)]
+        digits = [assign_digit(index, limiters, size) for index in range(limiters)]
         assert len({many for _, many in digits}) == 1 and digits[0][1] < 2 * size
         for start in range(limiters):
             row = [digits[(start + n) % limiters] for n in range(size)]
@@ -79,17 +81,17 @@
                 bench.end(asked, attempt=number)
     accounts = [bench.limiter.customers[7] for bench in benches]
     assert all(a.digit is not None for a in accounts)
-    assert all(a.again_ns < 0 for a in accounts)  # nobody took the count for one that began again
-    assert all(abs(a.check()) < 1e-6 for a in accounts)
+    assert all(a.reset_ns < 0 for a in accounts)  # nobody took the count for one that began again
+    assert all(abs(a.imbalance()) < 1e-6 for a in accounts)
 
 
 def test_what_the_digits_do_not_reach_is_not_read() -> None:
-    marks = Marks.of(20.0, 0, 2)
-    assert marks and marks.read(1e6) == (1e6, None)
-    assert marks.read(5.0 + marks.step / 2)[1] is None
-    assert Marks.of(20.0, 0, MOST_LIMITERS + 1) is None
-    outside = Marks.of(20.0, 5, 2)
-    assert outside and outside.weight == 0.0 and outside.read(4.0) == (4.0, None)
+    marks = SequenceDigits.for_burst(20.0, 0, 2)
+    assert marks and marks.decode(1e6) == (1e6, None)
+    assert marks.decode(5.0 + marks.step / 2)[1] is None
+    assert SequenceDigits.for_burst(20.0, 0, MOST_LIMITERS + 1) is None
+    outside = SequenceDigits.for_burst(20.0, 5, 2)
+    assert outside and outside.weight == 0.0 and outside.decode(4.0) == (4.0, None)
 
 
 class Count:
@@ -98,87 +100,92 @@
     def __init__(self) -> None:
         self.total = 0.0
 
-    def add(self, question: Question) -> float:
-        self.total += question.amount + question.mark
+    def add(self, question: CounterCall) -> float:
+        self.total += question.amount + question.digit_amount
         return self.total
 
 
 def test_a_swallowed_call_is_told_again_with_the_next_one() -> None:
     count, one = Count(), account()
     one.charge(START, 3.0)
-    swallowed = one.ask(START, -1, 0.0, 1)
-    one.missed(START, swallowed)
-    second = one.ask(START, -1, 0.0, 2)
-    one.heard(START, second, count.add(second))
-    assert swallowed.fate is Fate.LOST and one.unreported == 3.0
-    third = one.ask(START, -1, 0.0, 3)
-    one.heard(START, third, count.add(third))
-    assert count.total // 1 == 3 and abs(one.check()) < 1e-9
+    swallowed = one.start_call(START, -1, 0.0, 1)
+    one.on_timeout(START, swallowed)
+    second = one.start_call(START, -1, 0.0, 2)
+    one.on_answer(START, second, count.add(second))
+    assert swallowed.status is CallStatus.LOST and one.unreported == 3.0
+    third = one.start_call(START, -1, 0.0, 3)
+    one.on_answer(START, third, count.add(third))
+    assert count.total // 1 == 3 and abs(one.imbalance()) < 1e-9
 
 
 def test_a_call_that_was_added_and_not_answered_is_not_told_twice() -> None:
     count, one = Count(), account()
     one.charge(START, 3.0)
-    added = one.ask(START, 7, 2.0, 1)  # two units asked for, which nobody is granted
+    added = one.start_call(START, 7, 2.0, 1)  # two units asked for, which nobody is granted
     count.add(added)
-    one.missed(START, added)
-    second = one.ask(START, -1, 0.0, 2)
-    room = one.room
-    one.heard(START, second, count.add(second))
-    assert added.fate is Fate.ENDED and one.unreported == -2.0 and one.room == room
-    third = one.ask(START, -1, 0.0, 3)
-    one.heard(START, third, count.add(third))
-    assert count.total // 1 == 3 and abs(one.check()) < 1e-9
+    one.on_timeout(START, added)
+    second = one.start_call(START, -1, 0.0, 2)
+    room = one.balance
+    one.on_answer(START, second, count.add(second))
+    assert added.status is CallStatus.RESOLVED and one.unreported == -2.0 and one.balance == room
+    third = one.start_call(START, -1, 0.0, 3)
+    one.on_answer(START, third, count.add(third))
+    assert count.total // 1 == 3 and abs(one.imbalance()) < 1e-9
 
 
 def test_a_late_answer_ends_the_doubt_and_grants_nothing() -> None:
     count, one = Count(), account()
     one.charge(START, 1.0)
-    call = one.ask(START, 7, 2.0, 1)
-    one.missed(START, call)
-    assert not one.heard(START, call, count.add(call))
-    assert not one.doubts and one.unreported == -2.0 and one.total == 3.0 and abs(one.check()) < 1e-9
+    call = one.start_call(START, 7, 2.0, 1)
+    one.on_timeout(START, call)
+    assert not one.on_answer(START, call, count.add(call))
+    assert (
+        not one.uncertain_calls
+        and one.unreported == -2.0
+        and one.total == 3.0
+        and abs(one.imbalance()) < 1e-9
+    )
 
 
 def test_what_was_told_again_and_comes_late_after_all_is_taken_back() -> None:
     count, one = Count(), account()
     one.charge(START, 3.0)
-    slow = one.ask(START, -1, 0.0, 1)
-    one.missed(START, slow)
-    second = one.ask(START, -1, 0.0, 2)
-    one.heard(START, second, count.add(second))  # the slow one is not in it: lost
-    third = one.ask(START, -1, 0.0, 3)
+    slow = one.start_call(START, -1, 0.0, 1)
+    one.on_timeout(START, slow)
+    second = one.start_call(START, -1, 0.0, 2)
+    one.on_answer(START, second, count.add(second))  # the slow one is not in it: lost
+    third = one.start_call(START, -1, 0.0, 3)
     count.add(slow)  # it arrives in between
-    one.heard(START, third, count.add(third))
-    fourth = one.ask(START, -1, 0.0, 4)
-    one.heard(START, fourth, count.add(fourth))
-    assert count.total // 1 == 3 and abs(one.check()) < 1e-9 and one.unreported == 0.0
+    one.on_answer(START, third, count.add(third))
+    fourth = one.start_call(START, -1, 0.0, 4)
+    one.on_answer(START, fourth, count.add(fourth))
+    assert count.total // 1 == 3 and abs(one.imbalance()) < 1e-9 and one.unreported == 0.0
 
 
 def test_a_mark_that_is_gone_tells_of_a_count_that_was_lost() -> None:
     """Others have filled a fresh count beyond the old total: only the mark shows that it is another."""
     count, one = Count(), account()
     one.charge(START, 4.0)
-    first = one.ask(START, -1, 0.0, 1)
-    one.heard(START, first, count.add(first))
+    first = one.start_call(START, -1, 0.0, 1)
+    one.on_answer(START, first, count.add(first))
     count.total = 10.0  # a fresh one, told of others' spending alone
     room = one.refill(START)
-    second = one.ask(START, -1, 0.0, 2)
-    one.heard(START, second, count.add(second))
-    assert one.mine == 0.0 and one.room < room - 9  # all of it is news
+    second = one.start_call(START, -1, 0.0, 2)
+    one.on_answer(START, second, count.add(second))
+    assert one.own_units == 0.0 and one.balance < room - 9  # all of it is news
 
 
 def test_a_restarted_limiter_reads_the_mark_that_it_left_behind() -> None:
     count, one = Count(), account()
     one.charge(START, 4.0)
-    first = one.ask(START, -1, 0.0, 1)
-    one.heard(START, first, count.add(first))
+    first = one.start_call(START, -1, 0.0, 1)
+    one.on_answer(START, first, count.add(first))
     again = account(lived_ns=0)
     assert again.digit is None
-    call = again.ask(START, -1, 0.0, 1)
-    assert call.mark == 0.0
-    again.heard(START, call, count.add(call))
-    assert again.digit == 3 and again.room == pytest.approx(16.0)
+    call = again.start_call(START, -1, 0.0, 1)
+    assert call.digit_amount == 0.0
+    again.on_answer(START, call, count.add(call))
+    assert again.digit == 3 and again.balance == pytest.approx(16.0)
 
 
 def test_the_module_tells_a_swallowed_call_again() -> None:
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -10,9 +10,9 @@
 import pytest
 from helpers import MS, SAFE, SECOND, SETTINGS, START, UNSAFE, Bench
 
-from aniseshed.account import Pace
+from aniseshed.account import CallPacer
 from aniseshed.interface import Counted, Outcome
-from aniseshed.partition import Roll
+from aniseshed.partition import PartitionDetector
 
 LIMITERS = 200
 SEARCH, CLAIM = 0, 1
@@ -115,12 +115,12 @@
         while bench.unanswered:
             bench.counted(0.0, Outcome.TIMEOUT)
         bench.advance(100 * MS)
-    assert bench.limiter.weather.silent(bench.now)
+    assert bench.limiter.weather.is_silent(bench.now)
     bench.advance(2 * SECOND)
     beat = bench.beats[-1]
     bench.feed(Counted(beat.name, Outcome.OK, 0.0, 2 * MS, beat.call))
-    assert not bench.limiter.weather.silent(bench.now)
-    assert bench.limiter.pace.misses == 0, "and the next requests may ask it again"
+    assert not bench.limiter.weather.is_silent(bench.now)
+    assert bench.limiter.pace.consecutive_misses == 0, "and the next requests may ask it again"
 
 
 def test_a_class_that_was_slow_once_is_tried_again() -> None:
@@ -154,17 +154,17 @@
 
 def test_when_the_counter_is_back_calls_flow_at_once() -> None:
     # Silence slows each of 200 limiters to a call in up to 19 s.
-    pace, now_ns = Pace(LIMITERS, 30 * MS), START
+    pace, now_ns = CallPacer(LIMITERS, 30 * MS), START
     for _ in range(20):
-        pace.calls.resync(now_ns)
-        pace.call()
-        pace.ended(False)
+        pace.tokens.resync(now_ns)
+        pace.on_call()
+        pace.on_result(False)
         now_ns += 100 * MS
-    assert pace.calls.next_free_ticket_ns > now_ns + 10 * SECOND
-    pace.back(now_ns)
-    assert pace.free(now_ns + SECOND, 0.0)
+    assert pace.tokens.next_free_ticket_ns > now_ns + 10 * SECOND
+    pace.on_recovered(now_ns)
+    assert pace.is_free(now_ns + SECOND, 0.0)
 
 
 def test_a_set_larger_than_a_group_is_whole_whoever_is_missed_of_one() -> None:
-    roll = Roll(0, LIMITERS, START, True, split=frozenset({1, 2}))
-    assert roll.part(0, 150) == 1.0 and roll.part(0, 4) == 0.5
+    roll = PartitionDetector(0, LIMITERS, START, True, split=frozenset({1, 2}))
+    assert roll.quota_share(0, 150) == 1.0 and roll.quota_share(0, 4) == 0.5
