--- a/aniseshed/account.py
+++ b/aniseshed/account.py
@@ -134,7 +134,7 @@
     replaced_ns: int = -(1 << 62)  # the last replacement, as the roll told it, that this account knows of
     late_digit_call: CounterCall | None = None  # the last marked call taken for lost: it may yet be added
     early_units: float = 0.0  # of this limiter's units in a count of which no total has been learnt
-    answered_call: int = 0  # the latest call whose answer came
+    answered_call_id: int = 0  # the latest call whose answer came
     open_attempts: int = 0  # attempts out
     open_calls: int = 0  # questions out
     reported: float = field(default=0.0)  # the books: see imbalance()
@@ -182,7 +182,7 @@
             last_used_ns=now_ns,
         )
 
-    def count_name(self, now_ns: int) -> int:
+    def counter_key(self, now_ns: int) -> int:
         """The name of the present window's count; all limiters come to the same by their clocks."""
         return (self.name + (now_ns // self.window_ns << NAME_BITS)) % (1 << 64)
 
@@ -249,7 +249,7 @@
         self.unreported -= local
         self.in_flight += local
         self.open_calls += 1
-        question = CounterCall(self, request_id, self.count_name(now_ns), units, local, call, now_ns)
+        question = CounterCall(self, request_id, self.counter_key(now_ns), units, local, call, now_ns)
         if self.late_digit_call and now_ns - self.late_digit_call.started_ns > GHOST_NS:
             self.late_digit_call = None
         if self.digits and self.digit_call is self.late_digit_call is None and self.digit is not None:
@@ -275,7 +275,7 @@
 
     def on_answer(self, now_ns: int, question: CounterCall, total: float) -> bool:
         """An answer; whether it grants what was asked.  The units are charged if it does."""
-        current, fate = question.name == self.count_name(now_ns), question.status
+        current, fate = question.key == self.counter_key(now_ns), question.status
         if fate in (CallStatus.LOST, CallStatus.RESOLVED):
             if fate is CallStatus.LOST and current:
                 self.on_late_addition(now_ns, question)
@@ -284,7 +284,7 @@
             self.uncertain_calls.remove(question)
         self.finish_call(question)
         self.reported += question.amount
-        if current and question.number < self.answered_call:
+        if current and question.call_id < self.answered_call_id:
             # Out of turn, from another connection: a later total has shown it already, as if it were others'.
             self.own_units += question.amount
             self.spend(now_ns, -question.amount)
@@ -308,11 +308,11 @@
     def resolve_uncertain(self, now_ns: int, question: CounterCall, total: float) -> float:
         """What the mark in a total tells of the calls in doubt; returns the total without marks."""
         body, digit = self.digits.decode(total) if self.digits else (total, None)
-        known, marked, ghost, self.answered_call = (
+        known, marked, ghost, self.answered_call_id = (
             self.digit,
             self.digit_call,
             self.late_digit_call,
-            question.number,
+            question.call_id,
         )
         self.digit = digit
         if self.digits and digit is not None:
@@ -343,7 +343,7 @@
         self.reported += question.amount
         question.status = CallStatus.RESOLVED
         self.reverse_ungranted(now_ns, question)
-        if question.name == self.count_name(now_ns):
+        if question.key == self.counter_key(now_ns):
             if self.total is not None and self.total_window == now_ns // self.window_ns:
                 self.total += question.amount
                 self.own_units += question.amount
@@ -360,7 +360,7 @@
 
     def reverse_ungranted(self, now_ns: int, question: CounterCall) -> None:
         """Units that were added and not granted: they are taken from the window in which they stand."""
-        if question.name == self.count_name(now_ns):
+        if question.key == self.counter_key(now_ns):
             self.unreported -= question.units
         else:
             self.expired += question.units  # with their window
@@ -383,7 +383,7 @@
             return
         self.open_calls -= 1
         question.status = CallStatus.UNCERTAIN
-        if question.name == self.count_name(now_ns):
+        if question.key == self.counter_key(now_ns):
             self.uncertain_calls.append(question)
         else:
             self.on_added(now_ns, question)  # its window is over, and what it told with it
--- a/aniseshed/counter_call.py
+++ b/aniseshed/counter_call.py
@@ -25,10 +25,10 @@
 
     account: Account
     request_id: int  # -1 if it only tells
-    name: int
+    key: int
     units: float
     local_units: float
-    number: int = 0  # its number at this limiter, in the order in which calls were made
+    call_id: int = 0  # its number at this limiter, in the order in which calls were made
     started_ns: int = 0
     digit_amount: float = 0.0  # added with it, to turn this limiter's digit of the total
     status: CallStatus = CallStatus.IN_FLIGHT
--- a/aniseshed/partition.py
+++ b/aniseshed/partition.py
@@ -31,7 +31,7 @@
 class Heartbeat:
     """One call of the roll: ``amount`` turns this limiter's digit, or is 0 and only reads."""
 
-    name: int
+    key: int
     amount: float
 
 
@@ -73,7 +73,7 @@
         """Whom to send word: all at once where one group is all, else those who have a use for it."""
         return [o for o in self.group if o != self.index] if self.limiters > GROUP else [None]
 
-    def count_name(self, epoch: int) -> int:
+    def counter_key(self, epoch: int) -> int:
         return (TOP_CUSTOMER - self.index // GROUP + (epoch << NAME_BITS)) % (1 << 64)
 
     def next_heartbeat(self, now_ns: int) -> Heartbeat:
@@ -84,16 +84,16 @@
             self.digit = 0 if self.epoch >= 0 or now_ns - self.start_ns > EPOCH_NS else None
             self.epoch, self.total, self.pending = epoch, 0, None
         if self.digit is None or self.pending or now_ns < self.read_only_until_ns:
-            return Heartbeat(self.count_name(epoch), 0.0)
+            return Heartbeat(self.counter_key(epoch), 0.0)
         step = 1 if self.digit < BASE - 1 else 2 - BASE  # 0 is for fresh numbers alone
         self.pending = Heartbeat(
-            self.count_name(epoch), float(step * BASE ** (self.index - self.first_index))
+            self.counter_key(epoch), float(step * BASE ** (self.index - self.first_index))
         )
         return self.pending
 
     def on_answer(self, now_ns: int, beat: Heartbeat, total: float) -> bool:
         """An answer; whether it shows that what this limiter had added is gone."""
-        if beat.name != self.count_name(self.epoch) or not abs(total) < BASE**GROUP:
+        if beat.key != self.counter_key(self.epoch) or not abs(total) < BASE**GROUP:
             return False
         read = round(total)
         known, mine = self.digit, self.digit_of(read, self.index)
--- a/aniseshed/policy.py
+++ b/aniseshed/policy.py
@@ -205,7 +205,7 @@
         question = self.questions[call] = customer.start_call(self.now_ns, request_id, units, call)
         self.pace.on_call()
         amount = question.amount + question.digit_amount
-        self.actions.append(api.Count(question.name, amount, customer.window_ns, call))
+        self.actions.append(api.Count(question.key, amount, customer.window_ns, call))
 
     def charge(self, work: Work) -> None:
         """Take a request's units from the slice, and tell the counter if that is much of what is left."""
@@ -229,7 +229,7 @@
             beat = self.roll.next_heartbeat(self.now_ns)
             self.last_call = call = self.last_call + 1
             self.beats = {call: beat, **{old: b for old, b in self.beats.items() if b is self.roll.pending}}
-            self.actions.append(api.Count(beat.name, beat.amount, 2 * EPOCH_NS, call))
+            self.actions.append(api.Count(beat.key, beat.amount, 2 * EPOCH_NS, call))
         if self.settings.may_tell and self.roll.enabled:
             self.actions += [api.Tell(other, WORD) for other in self.roll.recipients()]
         if self.weather.update_state(self.now_ns, bool(self.roll.split)):
--- a/tests/test_counter_lost.py
+++ b/tests/test_counter_lost.py
@@ -387,7 +387,7 @@
 
 def tell(one: Account, now_ns: int, units: float, total: float) -> None:
     one.charge(now_ns, units)
-    one.on_answer(now_ns, one.start_call(now_ns, -1, 0.0, one.answered_call + 1), total)
+    one.on_answer(now_ns, one.start_call(now_ns, -1, 0.0, one.answered_call_id + 1), total)
 
 
 def test_in_silence_a_room_grows_by_the_slice_and_the_rest_comes_back_later() -> None:
