--- a/aniseshed/counter_call.py
+++ b/aniseshed/counter_call.py
@@ -1,4 +1,4 @@
-"""A call to the counter, as the books of an account keep it; a plain record."""
+"""A call to the counter and what is known of its result; the account keeps it until it is resolved."""
 
 from __future__ import annotations
 
@@ -11,26 +11,29 @@
 
 
 class CallStatus(Enum):
-    """What has become of a call: what it told counts once whichever way it goes from one to the next."""
+    """What is known of a call.  The units that it reports count once, whichever status follows which."""
 
     IN_FLIGHT = "out"
-    RESOLVED = "ended"  # answered, turned away, or resolved
-    UNCERTAIN = "doubt"  # unanswered in time; it may have been added, or may yet be
-    LOST = "lost"  # told again, for all that is known; an answer may still come
+    RESOLVED = "ended"  # answered, rejected, or resolved by a later total
+    UNCERTAIN = "doubt"  # timed out: the counter may have added it, or may yet do so
+    LOST = "lost"  # presumed not added and reported again; an answer may still come
 
 
 @dataclass(slots=True, eq=False)
 class CounterCall:
-    """A call to the counter: units asked for, and local spends told with it; both in units of the quota."""
+    """A call to the counter; amounts are in units of the quota.
+
+    It asks for ``units`` and reports ``local_units``, which were charged without asking.
+    """
 
     account: Account
-    request_id: int  # -1 if it only tells
+    request_id: int  # -1 if it only reports
     key: int
     units: float
     local_units: float
-    call_id: int = 0  # its number at this limiter, in the order in which calls were made
+    call_id: int = 0  # ascending in the order in which this limiter made its calls
     started_ns: int = 0
-    digit_amount: float = 0.0  # added with it, to turn this limiter's digit of the total
+    digit_amount: float = 0.0  # added to the amount to advance this limiter's sequence digit
     status: CallStatus = CallStatus.IN_FLIGHT
 
     @property
--- a/aniseshed/counter_health.py
+++ b/aniseshed/counter_health.py
@@ -1,6 +1,6 @@
-"""The counter's states, told apart from evidence; docs/operating/counter.md has what holds in each.
+"""The health of the counter as one limiter sees it; docs/operating/counter.md says what holds in each state.
 
-A counter that lies (noise for numbers) is silent here: what is no number is no answer.
+A counter that answers with something that is no number counts as silent.
 """
 
 from __future__ import annotations
@@ -10,40 +10,45 @@
 
 from aniseshed.partition import SECOND_NS
 
-SILENT_WAITS = 6.0  # time-outs without any answer: a connection that went silent is left after one
-GAIN = 0.1  # weight of one call's end in the share of misses
-SLOW_SHARE = 0.5
-SETTLE_NS = 10 * SECOND_NS  # for which a change is told as replaced or back: about a count's window
+# Time-outs without any answer after which the counter counts as silent.  A connection that fell silent is
+# given up after one.
+SILENT_WAITS = 6.0
+GAIN = 0.1  # weight of one call's result in the moving average of misses
+SLOW_SHARE = 0.5  # miss rate above which the counter counts as slow
+# How long a replacement or a recovery is reported: about the lifetime of a customer's total.
+SETTLE_NS = 10 * SECOND_NS
 
 
 class CounterState(Enum):
+    """The counter's state, as the log and the report show it."""
+
     HEALTHY = "well"  # answers in time
-    SLOW = "slow"  # half of the calls end without one
-    SILENT = "silent"  # no answer for SILENT_WAITS time-outs, and calls that went without
-    REPLACED = "replaced"  # this limiter's digit of the roll is gone
-    SPLIT = "split"  # a limiter lives and does not answer the roll
-    RECOVERED = "back"  # answers again after silence or a split, for a window
+    SLOW = "slow"  # half of the calls end without an answer in time
+    SILENT = "silent"  # calls went unanswered and there was no answer for SILENT_TIMEOUTS time-outs
+    REPLACED = "replaced"  # the counter has lost this limiter's heartbeat digit
+    SPLIT = "split"  # another limiter is running and its heartbeats do not reach this side of the counter
+    RECOVERED = "back"  # answers again after silence or a split, for RECENT_CHANGE_NS
 
 
 @dataclass(slots=True)
 class CounterHealth:
-    """The state of the counter as one limiter sees it.  Times in nanoseconds."""
+    """The state of the counter as one limiter sees it.  Times are in nanoseconds."""
 
     timeout_ns: int
     state: CounterState = CounterState.HEALTHY
     since_ns: int = 0
     answered_ns: int = -1  # the last answer in time
-    first_miss_ns: int = -1  # the first call since then that ended without one
-    past_silence_ns: int = 0  # all silences that have ended
-    recovered_ns: int = -(1 << 62)  # when the last one did
-    miss_rate: float = 0.0  # share of the last calls
+    first_miss_ns: int = -1  # the first call since then that ended without an answer; -1: none
+    past_silence_ns: int = 0  # length of all silences that have ended
+    recovered_ns: int = -(1 << 62)  # when the last of them ended
+    miss_rate: float = 0.0  # moving average over the last calls
     replaced_ns: int = -(1 << 62)
     impaired_ns: int = -(1 << 62)  # when it was last silent or split
 
-    def on_result(self, now_ns: int, heard: bool) -> None:
-        """A call ended, in time with a total or not."""
-        self.miss_rate += GAIN * ((not heard) - self.miss_rate)
-        if heard:
+    def on_result(self, now_ns: int, answered: bool) -> None:
+        """A call ended, with a total in time or without."""
+        self.miss_rate += GAIN * ((not answered) - self.miss_rate)
+        if answered:
             if self.is_silent(now_ns):
                 self.past_silence_ns, self.recovered_ns = self.total_silence_ns(now_ns), now_ns
             self.answered_ns, self.first_miss_ns = now_ns, -1
@@ -54,11 +59,11 @@
         return self.first_miss_ns >= 0 and now_ns - self.first_miss_ns >= SILENT_WAITS * self.timeout_ns
 
     def total_silence_ns(self, now_ns: int) -> int:
-        """For how long the counter has been silent in all; a silence counts from its first missing answer."""
+        """How long the counter has been silent in all; each silence starts with its first missing answer."""
         return self.past_silence_ns + (now_ns - self.first_miss_ns if self.is_silent(now_ns) else 0)
 
     def update_state(self, now_ns: int, split: bool) -> bool:
-        """Settle the state by what is known now; whether it has changed."""
+        """Set the state to what is known now and return whether it has changed."""
         if self.is_silent(now_ns):
             state = CounterState.SILENT
         elif split:
