--- a/aniseshed/interface.py
+++ b/aniseshed/interface.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from aniseshed.weather import State
+    from aniseshed.counter_health import CounterState
 
 
 class Idempotency(Enum):
@@ -401,7 +401,7 @@
     ``bound_units`` bounds, by plan index, the units beyond one customer's quota that may pass after the
     change of state."""
 
-    state: State
+    state: CounterState
     since_ns: int
     bound_units: tuple[float, ...]
     unreachable: tuple[int, ...]  # indexes of limiters on another side of a counter partition
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -132,12 +132,12 @@
     for _ in range(8):
         bench.request()
     bench.answer_all_calls()
-    room = bench.limiter.accounts[1].room
+    room = bench.limiter.accounts[1].balance
     told = len(bench.counter_calls)
     while len(bench.counter_calls) == told:
         bench.request()
     bench.answer_call(bench.counter_calls[-1].amount)  # all that went before is forgotten
-    assert bench.limiter.accounts[1].room < room
+    assert bench.limiter.accounts[1].balance < room
 
 
 def test_a_customer_seen_seldom_here_is_not_believed_spent() -> None:
@@ -150,7 +150,7 @@
     for _ in range(3):
         bench.request()
     bench.answer_call(sum(c.amount for c in bench.counter_calls) + 30.0)
-    assert bench.limiter.accounts[1].room > 10
+    assert bench.limiter.accounts[1].balance > 10
 
 
 def test_idle_customers_age_out() -> None:
