--- a/hookport/clients.py
+++ b/hookport/clients.py
@@ -1,4 +1,4 @@
-"""Clients: the listener, answers in the order of the commands on a connection, and the shutdown."""
+"""Client connections: the listener, replies in the order of the commands, time-outs, and the shutdown."""
 
 from __future__ import annotations
 
@@ -18,222 +18,231 @@
 log = logging.getLogger("hookport.clients")
 
 BACKLOG = 1024
-MOST_WORDS = 8  # of a command: none has more than five
-MOST_PIPELINED = 64  # unanswered commands of one connection, beyond which it is not read
-MOST_REFUSED = 16  # commands that cannot be used, on a connection that also brought good ones
-MOST_UNREAD = 1 << 20  # bytes of answers that a client has not read, beyond which it is dropped
-STILL_COMING_S = 0.5  # after SIGTERM new connections come for 0.4 s
-LOOK_S = 0.25  # how often connections that have waited long enough are looked for
-IDLE_PART = 0.35  # of the connections at most that stand between requests: clients need places for theirs
-SETTLED_S = 0.1  # after which a connection may make room: a new one's first command comes sooner
-TOLD_S = 5.0  # how often the log tells how many were closed, and why
+MAX_ARGUMENTS = 8  # the longest command, HELLO with all its options, has seven
+MAX_PIPELINED = 64  # a connection with more unanswered commands is not read
+MAX_REJECTED = 16  # invalid commands on a connection that has also sent valid requests
+MAX_UNREAD_REPLY_BYTES = 1 << 20  # a client with more unread replies is disconnected
+ACCEPT_AFTER_SIGTERM_S = 0.5  # new connections still arrive for 0.4 s after SIGTERM
+TIMEOUT_CHECK_INTERVAL_S = 0.25
+# Of all connections, at most this share may be idle between requests: other clients need them for their own.
+MAX_IDLE_SHARE = 0.35
+# A connection may be evicted once it has been in its state for this long; the first command of a new
+# connection arrives sooner.
+EVICTION_GRACE_S = 0.1
+CLOSE_LOG_INTERVAL_S = 5.0  # at most one log line in this time about closed connections and the reasons
 
 
 class PendingReply:
-    """The place of one command's answer among those of its connection."""
+    """The place of one command's reply in the reply queue of its connection."""
 
-    __slots__ = ("connection", "gone", "reply")
+    __slots__ = ("connection", "on_disconnect", "reply")
 
     def __init__(self, connection: Connection) -> None:
         self.connection = connection
         self.reply: bytes | None = None
-        self.gone: Callable[[], None] | None = None  # called when the client has gone away
+        self.on_disconnect: Callable[[], None] | None = None  # called if the client disconnects first
 
     def complete(self, reply: bytes) -> None:
-        self.reply, self.gone = reply, None
+        """Set the reply; it is written once all earlier commands of the connection have theirs."""
+        self.reply, self.on_disconnect = reply, None
         self.connection.flush()
 
 
-class Row:
-    """Connections that wait for one thing, the longest first, and for how long they may."""
+class WaitQueue:
+    """Connections that wait for the same event, in the order of arrival, and how long they may wait."""
 
-    __slots__ = ("members", "wait_s", "why")
+    __slots__ = ("entered_s", "timeout_s", "reason")
 
-    def __init__(self, wait_s: float, why: str) -> None:
-        self.wait_s, self.why = wait_s, why
-        self.members: dict[Connection, float] = {}  # and since when
+    def __init__(self, timeout_s: float, reason: str) -> None:
+        self.timeout_s, self.reason = timeout_s, reason
+        self.entered_s: dict[Connection, float] = {}
 
-    def longest(self, since_s: float) -> Connection | None:
-        """The one that has waited longest, if since then at least."""
-        first = next(iter(self.members), None)
-        return first if first and self.members[first] <= since_s else None
+    def oldest(self, entered_by_s: float) -> Connection | None:
+        """The connection that has waited longest, if it entered the queue by that time."""
+        first = next(iter(self.entered_s), None)
+        return first if first and self.entered_s[first] <= entered_by_s else None
 
 
 class Connection(asyncio.Protocol):
     """One client connection, which carries requests of many customers."""
 
     __slots__ = (
-        "pending_replies", "clients", "done", "ended", "parsing", "reader", "refused", "row", "session",
-        "stopped_reading", "accepted_count", "transport", "write_paused",
+        "pending_replies", "clients", "command_count", "closing", "parsing", "reader", "rejected_count",
+        "queue", "session", "reading_paused", "accepted_count", "transport", "write_paused",
     )  # fmt: skip
 
     def __init__(self, clients: Clients) -> None:
         self.clients = clients
-        self.reader = resp.Reader(MOST_WORDS)
+        self.reader = resp.Reader(MAX_ARGUMENTS)
         self.pending_replies: deque[PendingReply] = deque()
-        self.row: Row | None = None  # of those that wait for this client
-        self.session: Session | None = None  # where the front for limit commands is on
-        self.stopped_reading = False
+        self.queue: WaitQueue | None = None  # the queue of what the client has to do next
+        self.session: Session | None = None  # set by the limit commands, if the options enable them
+        self.reading_paused = False
         self.write_paused = False
         self.parsing = False
-        self.ended = False
-        self.done, self.accepted_count, self.refused = 0, 0, 0  # commands, requests, what could not be used
+        self.closing = False  # no further command is read
+        # Commands of any kind, valid requests, invalid commands.
+        self.command_count, self.accepted_count, self.rejected_count = 0, 0, 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.clients.admit(self)
+        self.clients.add_connection(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.ended = True
-        self.clients.forget(self)
-        for answer in self.pending_replies:
-            if answer.gone:
-                answer.gone()
+        self.closing = True
+        self.clients.remove_connection(self)
+        for pending in self.pending_replies:
+            if pending.on_disconnect:
+                pending.on_disconnect()
         self.pending_replies.clear()
 
     def data_received(self, data: bytes) -> None:
-        if not self.ended:
+        if not self.closing:
             self.reader.feed(data)
-            self.parse()
+            self.process_input()
 
-    def parse(self) -> None:
-        """Take the commands that are whole, as many as may be unanswered."""
+    def process_input(self) -> None:
+        """Handle the commands that are complete, up to the limit of unanswered ones."""
         if self.parsing:
             return
         self.parsing = True
-        before = self.done
+        count_before = self.command_count
         try:
-            while not self.ended and len(self.pending_replies) < MOST_PIPELINED and not self.write_paused:
-                if (words := self.reader.gets()) is False:
+            while not self.closing and len(self.pending_replies) < MAX_PIPELINED and not self.write_paused:
+                if (message := self.reader.gets()) is False:
                     break
-                self.done += 1
-                self.command(words)
+                self.command_count += 1
+                self.handle_command(message)
         except resp.StreamError as error:
             self.close_with_error(str(error))
         finally:
             self.parsing = False
-        if not self.ended:
-            self.throttle()
-            self.wait(self.done > before)
-
-    def close_with_error(self, why: str) -> None:
-        """Guards against a client that cannot be understood or does not go on: one error line, then a
-        close, whatever else waits on this connection, which fails at once."""
-        self.clients.closed[why] += 1
-        answers, self.ended = list(self.pending_replies), True
-        self.send_reply(resp.error(why))
-        for answer in answers:
-            if gone := answer.gone:
-                answer.complete(resp.error("failed: the connection is closed"))
-                gone()
+        if not self.closing:
+            self.update_reading()
+            self.update_queue(self.command_count > count_before)
+
+    def close_with_error(self, reason: str) -> None:
+        """Send an error and close the connection of a client that is out of protocol or too slow.
+
+        The requests that are still unanswered on the connection fail at once."""
+        self.clients.close_counts[reason] += 1
+        unanswered, self.closing = list(self.pending_replies), True
+        self.send_reply(resp.error(reason))
+        for pending in unanswered:
+            if on_disconnect := pending.on_disconnect:
+                pending.complete(resp.error("failed: the connection is closed"))
+                on_disconnect()
         self.close_when_answered()
 
-    def command(self, words: resp.Message) -> None:
-        if not isinstance(words, list) or not words or not isinstance(words[0], bytes):
+    def handle_command(self, message: resp.Message) -> None:
+        if not isinstance(message, list) or not message or not isinstance(message[0], bytes):
             return self.reject_command("a command is an array of bulk strings")
-        verb = words[0].upper()
+        verb = message[0].upper()
         if verb in (b"SVC.QUERY", b"SVC.SUBMIT"):
-            answer = PendingReply(self)
-            self.pending_replies.append(answer)
+            pending = PendingReply(self)
+            self.pending_replies.append(pending)
             try:
-                self.clients.take(words, answer)
+                self.clients.on_request(message, pending)
                 self.accepted_count += 1
             except resp.CommandError as error:
-                self.pending_replies.remove(answer)
+                self.pending_replies.remove(pending)
                 self.reject_command(str(error))
-        elif (front := self.clients.front) and front.command(self, verb, words):
+        elif (limit_commands := self.clients.limit_commands) and limit_commands.command(self, verb, message):
             pass
         elif verb == b"PING":
-            self.send_reply(resp.PONG if len(words) == 1 else resp.error("wrong number of arguments"))
+            self.send_reply(resp.PONG if len(message) == 1 else resp.error("wrong number of arguments"))
         elif verb in (b"CLIENT", b"SELECT"):
             self.send_reply(resp.OK)
         else:
             self.send_reply(resp.error("unknown command"))
 
-    def reject_command(self, why: str) -> None:
-        """Guards against a client that only sends what cannot be used keeping a descriptor, or the core."""
-        self.refused += 1
-        if not self.accepted_count or self.refused > MOST_REFUSED:
-            return self.close_with_error(why)
-        self.send_reply(resp.error(why))
+    def reject_command(self, reason: str) -> None:
+        """Reply with an error; close the connection if it brought no valid request or too many invalid ones.
+
+        Otherwise a client that sends nothing but invalid commands keeps a descriptor and the CPU busy."""
+        self.rejected_count += 1
+        if not self.accepted_count or self.rejected_count > MAX_REJECTED:
+            return self.close_with_error(reason)
+        self.send_reply(resp.error(reason))
 
     def send_reply(self, reply: bytes) -> None:
-        answer = PendingReply(self)
-        self.pending_replies.append(answer)
-        answer.complete(reply)
+        """Queue a reply behind those of the earlier commands."""
+        pending = PendingReply(self)
+        self.pending_replies.append(pending)
+        pending.complete(reply)
 
     def flush(self) -> None:
-        """Write the answers whose turn it is."""
-        answers, ready = self.pending_replies, []
-        while answers and (reply := answers[0].reply) is not None:
-            answers.popleft()
+        """Write the replies that no unanswered command precedes."""
+        pending_replies, ready = self.pending_replies, []
+        while pending_replies and (reply := pending_replies[0].reply) is not None:
+            pending_replies.popleft()
             ready.append(reply)
         if not ready or self.transport.is_closing():
             return
         self.transport.write(ready[0] if len(ready) == 1 else b"".join(ready))
-        if self.write_paused and self.transport.get_write_buffer_size() > MOST_UNREAD:
-            log.warning("dropping a client that does not read its answers")
+        if self.write_paused and self.transport.get_write_buffer_size() > MAX_UNREAD_REPLY_BYTES:
+            log.warning("closing the connection of a client that does not read its replies")
             return self.transport.abort()
-        if self.ended or (self.clients.closing and not answers):
+        if self.closing or (self.clients.draining and not pending_replies):
             self.close_when_answered()
         elif not self.parsing:
             if self.reader.has_unparsed_data():
-                self.parse()  # what was left unread while too much was unanswered
+                self.process_input()  # commands that had to wait for the limit of unanswered ones
             else:
-                self.throttle()
-                self.wait(False)
+                self.update_reading()
+                self.update_queue(False)
 
-    def throttle(self) -> None:
-        """Guards against memory filled by one client: while it is behind, it is not read."""
-        stop = self.ended or self.write_paused or len(self.pending_replies) >= MOST_PIPELINED
-        if stop != self.stopped_reading and not self.transport.is_closing():
-            self.stopped_reading = stop
-            (self.transport.pause_reading if stop else self.transport.resume_reading)()
+    def update_reading(self) -> None:
+        """Pause reading while the client is behind, so that one client cannot fill the memory."""
+        pause = self.closing or self.write_paused or len(self.pending_replies) >= MAX_PIPELINED
+        if pause != self.reading_paused and not self.transport.is_closing():
+            self.reading_paused = pause
+            (self.transport.pause_reading if pause else self.transport.resume_reading)()
 
     def pause_writing(self) -> None:
         self.write_paused = True
-        self.throttle()
-        self.wait(True)
+        self.update_reading()
+        self.update_queue(True)
 
     def resume_writing(self) -> None:
         self.write_paused = False
-        if self.ended:
+        if self.closing:
             return self.close_when_answered()
-        self.wait(True)
-        self.parse()
-
-    def wait(self, anew: bool) -> None:
-        """Stand in the row of what the client is to do next, with the whole time if it did something."""
-        clients, row = self.clients, None
-        if self.write_paused or self.ended:
-            row = clients.unread
-        elif not self.done:
-            row = clients.silent
-        elif len(self.pending_replies) < MOST_PIPELINED and self.reader.has_unparsed_data():
-            row = clients.unsaid
+        self.update_queue(True)
+        self.process_input()
+
+    def update_queue(self, restart: bool) -> None:
+        """Enter the queue of what the client has to do next; ``restart`` its time-out if it did something."""
+        clients, queue = self.clients, None
+        if self.write_paused or self.closing:
+            queue = clients.unread_replies
+        elif not self.command_count:
+            queue = clients.no_command
+        elif len(self.pending_replies) < MAX_PIPELINED and self.reader.has_unparsed_data():
+            queue = clients.partial_command
         elif not self.pending_replies:
-            row = clients.idle if self.accepted_count else clients.greeted
-        if row is not self.row or anew:
-            self.leave()
-            if row:
-                row.members[self] = clients.loop.time()
-            self.row = row
-            if row is clients.idle:
-                clients.trim()
-
-    def leave(self) -> None:
-        if self.row:
-            self.row.members.pop(self, None)
-            self.row = None
+            queue = clients.idle if self.accepted_count else clients.no_request
+        if queue is not self.queue or restart:
+            self.leave_queue()
+            if queue:
+                queue.entered_s[self] = clients.loop.time()
+            self.queue = queue
+            if queue is clients.idle:
+                clients.evict_idle()
+
+    def leave_queue(self) -> None:
+        if self.queue:
+            self.queue.entered_s.pop(self, None)
+            self.queue = None
 
     def close_when_answered(self) -> None:
-        """Take nothing more; close once all that was taken is answered and written."""
-        self.ended = True
+        """Read no more commands; close once all replies are written."""
+        self.closing = True
         if not self.pending_replies:
             self.transport.close()
         else:
-            self.throttle()
-        self.wait(False)
+            self.update_reading()
+        self.update_queue(False)
 
 
 class Clients:
@@ -242,94 +251,104 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        take: Callable[[Sequence[object], PendingReply], None],
-        most: int,
+        on_request: Callable[[Sequence[object], PendingReply], None],
+        max_connections: int,
     ) -> None:
-        self.loop, self.take, self.most = loop, take, most
+        self.loop, self.on_request, self.max_connections = loop, on_request, max_connections
         self.connections: dict[Connection, None] = {}
-        self.silent = Row(2.0, "no command in time")  # a first command
-        self.unsaid = Row(2.0, "no command in time")  # the rest of one
-        self.greeted = Row(3.0, "idle")  # a request, after something like PING
-        self.idle = Row(15.0, "idle")  # the next request
-        self.unread = Row(5.0, "answers not read")
-        self.closed: Counter[str] = Counter()  # connections, by reason, since it was last told
-        self.told_s = 0.0
-        self.looker: asyncio.TimerHandle | None = None
-        self.closing = False
+        self.no_command = WaitQueue(2.0, "no command in time")  # for the first command
+        self.partial_command = WaitQueue(2.0, "no command in time")  # for the rest of a command
+        self.no_request = WaitQueue(3.0, "idle")  # for the first request, after a command like PING
+        self.idle = WaitQueue(15.0, "idle")  # for the next request
+        self.unread_replies = WaitQueue(5.0, "replies not read")
+        self.close_counts: Counter[str] = Counter()  # closed connections by reason, since the last log line
+        self.logged_s = 0.0
+        self.timeout_timer: asyncio.TimerHandle | None = None
+        self.draining = False
         self.done = asyncio.Event()
         self.server: asyncio.Server | None = None
-        self.front: Front | None = None  # answers commands of its own, where the options switch it on
+        self.limit_commands: Front | None = None  # None: not enabled by the options
 
     async def listen(self, address: Address) -> Address:
-        """Start to accept; returns the address, with the port that a zero was made into."""
+        """Start to accept connections; return the bound address, with the actual port if it was 0."""
         self.server = await self.loop.create_server(
             lambda: Connection(self), *address, family=socket.AF_INET, backlog=BACKLOG
         )
         return cast(Address, self.server.sockets[0].getsockname())
 
-    def admit(self, connection: Connection) -> None:
+    def add_connection(self, connection: Connection) -> None:
         self.connections[connection] = None
-        if len(self.connections) > self.most:
+        if len(self.connections) > self.max_connections:
             self.make_room(connection)
-        connection.wait(True)
-        if self.looker is None:
-            self.looker = self.loop.call_later(LOOK_S, self.look)
+        connection.update_queue(True)
+        if self.timeout_timer is None:
+            self.timeout_timer = self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self.check_timeouts)
 
     def make_room(self, newest: Connection) -> None:
-        """Guards against running out of descriptors: who never asked for anything goes first."""
+        """Close one connection so that descriptors do not run out.
+
+        Those that never sent a request go first; if none can be evicted, the newest one is closed."""
         now_s = self.loop.time()
-        settled_s = now_s - SETTLED_S
-        for row, since_s in (
-            (self.silent, settled_s), (self.greeted, settled_s), (self.idle, now_s - self.silent.wait_s),
-            (self.greeted, now_s), (self.idle, settled_s),
+        grace_s = now_s - EVICTION_GRACE_S
+        for queue, entered_by_s in (
+            (self.no_command, grace_s), (self.no_request, grace_s),
+            (self.idle, now_s - self.no_command.timeout_s), (self.no_request, now_s), (self.idle, grace_s),
         ):  # fmt: skip
-            if victim := row.longest(since_s):
+            if victim := queue.oldest(entered_by_s):
                 break
         else:
             victim = newest
-        self.closed["no room"] += 1
+        self.close_counts["connection limit reached"] += 1
         victim.close_when_answered()
 
-    def trim(self) -> None:
-        """Guards against connections kept after one request holding the places others need for theirs."""
-        crowded = len(self.idle.members) > IDLE_PART * self.most
-        if crowded and (late := self.idle.longest(self.loop.time() - SETTLED_S)):
-            self.closed["idle in another's place"] += 1
-            late.close_when_answered()
+    def evict_idle(self) -> None:
+        """Close the longest idle connection if idle ones occupy too many of the places for new requests."""
+        crowded = len(self.idle.entered_s) > MAX_IDLE_SHARE * self.max_connections
+        if crowded and (oldest := self.idle.oldest(self.loop.time() - EVICTION_GRACE_S)):
+            self.close_counts["evicted while idle"] += 1
+            oldest.close_when_answered()
 
-    def look(self) -> None:
-        """Guards against connections that say nothing, stop half-way or do not read: each has its time."""
+    def check_timeouts(self) -> None:
+        """Close connections that are silent, stop within a command, stay idle, or do not read replies."""
         now_s = self.loop.time()
-        for row in (self.silent, self.unsaid):
-            while late := row.longest(now_s - row.wait_s):
-                late.close_with_error(row.why)
-        for row in (self.greeted, self.idle):
-            while late := row.longest(now_s - row.wait_s):
-                self.closed[row.why] += 1
-                late.close_when_answered()
-        while late := self.unread.longest(now_s - self.unread.wait_s):
-            late.leave()
-            self.closed[self.unread.why] += 1
-            late.transport.abort()
-        if self.closed and now_s - self.told_s > TOLD_S:
-            log.warning("closed: %s", ", ".join(f"{n} {why}" for why, n in self.closed.most_common()))
-            self.closed.clear()
-            self.told_s = now_s
-        self.looker = self.loop.call_later(LOOK_S, self.look) if self.connections or self.closed else None
-
-    def forget(self, connection: Connection) -> None:
-        connection.leave()
+        for queue in (self.no_command, self.partial_command):
+            while oldest := queue.oldest(now_s - queue.timeout_s):
+                oldest.close_with_error(queue.reason)
+        for queue in (self.no_request, self.idle):
+            while oldest := queue.oldest(now_s - queue.timeout_s):
+                self.close_counts[queue.reason] += 1
+                oldest.close_when_answered()
+        while oldest := self.unread_replies.oldest(now_s - self.unread_replies.timeout_s):
+            oldest.leave_queue()
+            self.close_counts[self.unread_replies.reason] += 1
+            oldest.transport.abort()
+        if self.close_counts and now_s - self.logged_s > CLOSE_LOG_INTERVAL_S:
+            log.warning(
+                "closed connections: %s",
+                ", ".join(f"{count} {reason}" for reason, count in self.close_counts.most_common()),
+            )
+            self.close_counts.clear()
+            self.logged_s = now_s
+        self.timeout_timer = (
+            self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self.check_timeouts)
+            if self.connections or self.close_counts
+            else None
+        )
+
+    def remove_connection(self, connection: Connection) -> None:
+        connection.leave_queue()
         self.connections.pop(connection, None)
-        if self.closing and not self.connections:
+        if self.draining and not self.connections:
             self.done.set()
 
     def shut_down(self) -> None:
-        """SIGTERM: connections come for a while yet; then answer what is held, and end."""
+        """Accept connections for a short while after SIGTERM, then drain; ``done`` is set at the end."""
         log.info("shutting down")
-        self.loop.call_later(STILL_COMING_S, self.drain)
+        self.loop.call_later(ACCEPT_AFTER_SIGTERM_S, self.drain)
 
     def drain(self) -> None:
-        self.closing = True
+        """Stop accepting; each connection closes once its requests are answered."""
+        self.draining = True
         if self.server:
             self.server.close()
         if not self.connections:
@@ -339,5 +358,5 @@
                 connection.close_when_answered()
 
     def close(self) -> None:
-        if self.looker:
-            self.looker.cancel()
+        if self.timeout_timer:
+            self.timeout_timer.cancel()
--- a/hookport/node.py
+++ b/hookport/node.py
@@ -79,7 +79,7 @@
         most = max(16, config.max_sockets - SPARE_SOCKETS)
         connect_s = (settings.connect_timeout_ns or SECOND) / SECOND
         self.clients = Clients(loop, self.handle_request, round(most * CLIENTS_PART))
-        for_servers = most - self.clients.most
+        for_servers = most - self.clients.max_connections
         idle_s = config.server_idle_timeout_ns / SECOND
         self.servers = Servers(loop, self.attempt_ended, connect_s, idle_s, for_servers, unread)
         self.members = self.believe() if config.options and config.options.membership else None
@@ -101,7 +101,7 @@
                 loop, config.peers, config.peers_all, settings.index, self.peer_message_received
             )
         self.limit_commands = self.take_asks() if config.options and config.options.limits else None
-        self.clients.front = self.limit_commands
+        self.clients.limit_commands = self.limit_commands
         self.doers: dict[type, Callable[[Any], None]] = {
             api.Send: self.send,
             api.Refuse: self.refuse,
@@ -233,7 +233,7 @@
         self.open_requests[request_id] = request
         self.held_bytes += request.size
         request.deadline_timer = self.loop.call_later(patience_ns / SECOND, self.overdue, request_id)
-        answer.gone = lambda: self.hung_up(request_id)
+        answer.on_disconnect = lambda: self.hung_up(request_id)
         self.feed(command.to_event(request_id, patience_ns))
 
     def new_id(self) -> int:
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -61,12 +61,12 @@
 
 def test_who_says_nothing_or_half_a_command_is_told_and_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(clients, "LOOK_S", 0.01)
+        monkeypatch.setattr(clients, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
         async with World(serve) as world:
             node = (await world.start()).node
             assert node
-            for row in (node.clients.silent, node.clients.unsaid, node.clients.greeted):
-                row.wait_s = 0.05
+            for row in (node.clients.no_command, node.clients.partial_command, node.clients.no_request):
+                row.timeout_s = 0.05
             silent, half, later, greeted = [await world.client() for _ in range(4)]
             half.writer.write(b"*4\r\n$9\r\nSVC.QUE")
             assert await greeted.ask(b"PING") == b"PONG"
@@ -172,12 +172,12 @@
 
 def test_who_never_asked_makes_room_first(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(clients, "SETTLED_S", 0.0)
-        monkeypatch.setattr(clients, "IDLE_PART", 1.0)
+        monkeypatch.setattr(clients, "EVICTION_GRACE_S", 0.0)
+        monkeypatch.setattr(clients, "MAX_IDLE_SHARE", 1.0)
         async with World(serve) as world:
             node = (await world.start()).node
             assert node
-            node.clients.most = 3
+            node.clients.max_connections = 3
             used, greeted, silent = [await world.client() for _ in range(3)]
             assert await used.ask(*query(1)) == b"value"
             assert await greeted.ask(b"PING") == b"PONG"
@@ -195,12 +195,12 @@
 
 def test_who_does_not_read_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(clients, "LOOK_S", 0.01)
+        monkeypatch.setattr(clients, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
         async with World(serve) as world:
             node = (await world.start()).node
             assert node
-            node.clients.unread.wait_s = 0.05
-            node.clients.take = lambda words, answer: answer.complete(resp.bulk(b"x" * 60000))
+            node.clients.unread_replies.timeout_s = 0.05
+            node.clients.on_request = lambda words, answer: answer.complete(resp.bulk(b"x" * 60000))
             client = await world.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             for n in range(1000):
@@ -218,33 +218,33 @@
             most = 0
             node = world.node
             assert node
-            take = node.clients.take
+            take = node.clients.on_request
 
             def count(words: object, answer: clients.PendingReply) -> None:
                 nonlocal most
                 most = max(most, len(answer.connection.pending_replies))
                 take(words, answer)  # type: ignore[arg-type]
 
-            node.clients.take = count
+            node.clients.on_request = count
             for n in range(300):
                 client.send(*query(n, customer=n))
             said = [await client.answer() for _ in range(300)]
             assert {str(reply) for reply in said} <= {"b'value'", "BUSY 1000"} and said[0] == b"value"
-            assert 1 < most <= clients.MOST_PIPELINED
+            assert 1 < most <= clients.MAX_PIPELINED
 
     run(scenario)
 
 
 def test_a_connection_that_stays_idle_for_long_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(clients, "LOOK_S", 0.01)
+        monkeypatch.setattr(clients, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
         async with World(serve) as world:
             node = (await world.start()).node
             assert node
             client = await world.client()
             assert await client.ask(*query(1)) == b"value"
             await asyncio.sleep(0)
-            node.clients.idle.wait_s = 0.0
+            node.clients.idle.timeout_s = 0.0
             assert await ended(client) == []
 
     run(scenario)
@@ -255,11 +255,11 @@
         async with World(serve) as world:
             await world.start()
             assert world.node
-            world.node.clients.most = 20
+            world.node.clients.max_connections = 20
             kept = [await world.client() for _ in range(7)]
             for n, client in enumerate(kept):
                 assert await client.ask(*query(n)) == b"value"
-            await asyncio.sleep(clients.SETTLED_S + 0.02)
+            await asyncio.sleep(clients.EVICTION_GRACE_S + 0.02)
             new = [await world.client() for _ in range(3)]
             for n, client in enumerate(new):  # each, once served, takes the place of the longest idle
                 assert await client.ask(*query(10 + n)) == b"value"
@@ -267,6 +267,6 @@
                 with pytest.raises(EOFError):
                     await client.answer()
             assert await kept[-1].ask(*query(20)) == b"value"
-            assert world.node.clients.closed["idle in another's place"] == 3
+            assert world.node.clients.close_counts["evicted while idle"] == 3
 
     run(scenario)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -550,12 +550,12 @@
 
             def settled() -> bool:
                 connection = connection_of(world)
-                return connection.stopped_reading or (
+                return connection.reading_paused or (
                     len(sent(world)) == asked and not connection.pending_replies
                 )
 
             await until(lambda: world.node and world.node.clients.connections)
-            while not connection_of(world).stopped_reading:
+            while not connection_of(world).reading_paused:
                 client.send(*query(asked))
                 asked += 1
                 await until(settled)
@@ -578,7 +578,7 @@
         async with World(serve, serve) as world:
             await world.start()
             assert world.node
-            world.node.clients.most = 4
+            world.node.clients.max_connections = 4
             first = [await world.client() for _ in range(4)]
             for client in first:
                 assert await client.ask(b"PING") == b"PONG"
