--- a/hookport/counter.py
+++ b/hookport/counter.py
@@ -1,9 +1,10 @@
-"""The counter: pipelined calls, each with exactly one end in time, and perhaps a late answer after it.
+"""Client of the shared counter: pipelined calls, each of which ends exactly once in time, and possibly again
+when its answer arrives late.
 
-One connection is in service. One that owes an answer and says nothing for as long as a call may wait is
-left: new calls go out on a new one, and the old one stays open for a while, since a late answer still tells
-whether its call was added. If the new one is no better, the counter itself is slow or silent, and each
-further change waits twice as long."""
+One connection takes new calls. If it owes an answer and delivers nothing for as long as a call may wait, it
+is abandoned: new calls go to a new connection, and the old one stays open for a while, because a late answer
+still tells whether its call was added. If the new connection delivers nothing either, the counter itself is
+slow or silent, and each further replacement waits twice as long."""
 
 from __future__ import annotations
 
@@ -20,72 +21,78 @@
 
 log = logging.getLogger("hookport.counter")
 
-LONGEST_TOTAL = 64  # bytes
-STUCK_WAITS = 1.0  # time-outs for which a connection may owe an answer and say nothing before it is left
-STUCK_S = 1.0  # what that grows to while no new connection brings an answer: the counter itself is silent
-TICK_S = 0.002  # the loop's timers and its clock agree to two ticks of a millisecond
-LATE_S = 2.0  # for which a connection that was left may still bring late answers
-MOST_LEFT = 3  # such connections: the counter holds 32 of a limiter
+MAX_TOTAL_BYTES = 64
+STALL_TIMEOUTS = 1.0  # a connection is stalled after this many call time-outs without a due answer
+# Upper limit of the stall time, which doubles while no new connection delivers an answer: then the counter
+# itself is silent.
+MAX_STALL_S = 1.0
+CLOCK_TOLERANCE_S = 0.002  # the loop's timers and its clock agree to within two ticks of a millisecond
+LATE_ANSWER_S = 2.0  # an abandoned connection stays open this long for late answers
+MAX_ABANDONED = 3  # abandoned connections; the counter accepts 32 connections from one limiter
 
 
 class Call:
-    __slots__ = ("name", "number", "sent_s", "timer", "words")
+    """One call, identified by ``number`` among the calls of this limiter."""
 
-    def __init__(self, name: int, number: int, words: bytes, sent_s: float) -> None:
-        self.name, self.number, self.words, self.sent_s = name, number, words, sent_s
+    __slots__ = ("name", "number", "sent_s", "timer", "payload")
+
+    def __init__(self, name: int, number: int, payload: bytes, sent_s: float) -> None:
+        self.name, self.number, self.payload, self.sent_s = name, number, payload, sent_s
         self.timer: asyncio.TimerHandle | None = None  # None once the call has ended
 
 
-class Line(asyncio.Protocol):
-    """One connection and the calls that are out on it, also those past their time-out."""
+class CounterConnection(asyncio.Protocol):
+    """One connection and its unanswered calls, including those that have timed out."""
 
     def __init__(self, counter: Counter) -> None:
         self.counter = counter
-        self.out: deque[Call] = deque()
-        self.heard_s = 0.0  # when an answer came last
-        self.reader = resp.Reader(0, LONGEST_TOTAL)
+        self.in_flight: deque[Call] = deque()
+        self.last_answer_s = 0.0
+        self.reader = resp.Reader(0, MAX_TOTAL_BYTES)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=0)  # writes go out at once
+        self.transport.set_write_buffer_limits(high=0)  # with a limit of 0, write() sends at once
 
-    def write(self, call: Call) -> None:
-        self.out.append(call)
-        self.transport.write(call.words)
+    def send(self, call: Call) -> None:
+        self.in_flight.append(call)
+        self.transport.write(call.payload)
 
     def data_received(self, data: bytes) -> None:
-        self.heard_s = self.counter.loop.time()
-        if self.counter.line is self:
-            self.counter.stuck_s = self.counter.least_stuck_s
+        self.last_answer_s = self.counter.loop.time()
+        if self.counter.connection is self:
+            self.counter.stall_s = self.counter.min_stall_s
         try:
             self.reader.feed(data)
-            while (reply := self.reader.gets()) is not False:
-                outcome, total = read(reply)
-                if not self.out:
-                    return self.drop("an answer to no call")
-                self.counter.end(self.out.popleft(), outcome, total)
+            while (message := self.reader.gets()) is not False:
+                outcome, total = parse_total(message)
+                if not self.in_flight:
+                    return self.drop("an answer without a call")
+                self.counter.end_call(self.in_flight.popleft(), outcome, total)
         except resp.StreamError as error:
             return self.drop(str(error))
-        if not self.out and self.counter.line is not self:
-            self.transport.close()  # all that it owed has come
+        if not self.in_flight and self.counter.connection is not self:
+            self.transport.close()  # abandoned, and all its answers have arrived
 
-    def drop(self, why: str) -> None:
-        log.warning("closing the connection: %s", why)
+    def drop(self, reason: str) -> None:
+        log.warning("closing the connection: %s", reason)
         self.transport.abort()
         self.connection_lost(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """What was out may have been added."""
-        if self.counter.line is self:
-            self.counter.line = None
-        if self in self.counter.left:
-            self.counter.left.remove(self)
-        while self.out:
-            self.counter.end(self.out.popleft(), Outcome.TIMEOUT)
+        """End the unanswered calls as timed out: each may have been added."""
+        if self.counter.connection is self:
+            self.counter.connection = None
+        if self in self.counter.abandoned:
+            self.counter.abandoned.remove(self)
+        while self.in_flight:
+            self.counter.end_call(self.in_flight.popleft(), Outcome.TIMEOUT)
 
 
 class Counter:
-    """Calls to the counter; each is reported once, in the order in which they were made."""
+    """Sends calls to the counter and reports their ends to ``on_end``, in the order of the calls.
+
+    A call that timed out is reported a second time if its answer arrives late."""
 
     def __init__(
         self,
@@ -93,125 +100,134 @@
         address: Address,
         timeout_s: float,
         connect_timeout_s: float,
-        ended: Callable[[Call, Outcome, float], None],
+        on_end: Callable[[Call, Outcome, float], None],
     ) -> None:
-        self.loop, self.address, self.ended = loop, address, ended
+        self.loop, self.address, self.on_end = loop, address, on_end
         self.timeout_s, self.connect_timeout_s = timeout_s, connect_timeout_s
-        self.line: Line | None = None
-        self.left: list[Line] = []  # connections that may still bring late answers
-        self.opening: asyncio.Task[None] | None = None
-        self.waiting: deque[Call] = deque()  # for a connection
-        self.least_stuck_s = self.stuck_s = min(STUCK_S, STUCK_WAITS * timeout_s)
+        self.connection: CounterConnection | None = None
+        self.abandoned: list[CounterConnection] = []  # they may still deliver late answers
+        self.connect_task: asyncio.Task[None] | None = None
+        self.queued: deque[Call] = deque()  # calls that wait for a connection
+        self.min_stall_s = self.stall_s = min(MAX_STALL_S, STALL_TIMEOUTS * timeout_s)
 
     def call(self, name: int, amount: float, lifetime_ns: int, number: int = 0) -> None:
-        life_ms = max(1, -(-lifetime_ns // 1_000_000))
-        words = resp.encode_command((b"INCRTTL", b"%d" % name, f"{amount:.9f}".encode(), b"%d" % life_ms))
-        call = Call(name, number, words, self.loop.time())
-        call.timer = self.loop.call_later(self.timeout_s, self.give_up, call)
-        self.check()
-        line = self.line
-        if line and not line.transport.is_closing():
-            line.write(call)
+        """Add ``amount`` to the count ``name``, which expires ``lifetime_ns`` after its first call."""
+        lifetime_ms = max(1, -(-lifetime_ns // 1_000_000))
+        payload = resp.encode_command(
+            (b"INCRTTL", b"%d" % name, f"{amount:.9f}".encode(), b"%d" % lifetime_ms)
+        )
+        call = Call(name, number, payload, self.loop.time())
+        call.timer = self.loop.call_later(self.timeout_s, self.time_out, call)
+        self.check_stall()
+        connection = self.connection
+        if connection and not connection.transport.is_closing():
+            connection.send(call)
         else:
-            self.waiting.append(call)
+            self.queued.append(call)
             self.connect()
 
-    def check(self) -> None:
-        """Guards against waiting on a connection whose other end has vanished without a word."""
-        if (line := self.line) and line.out:
-            silent_s = self.loop.time() - max(line.heard_s, line.out[0].sent_s)
-            if silent_s >= self.stuck_s - TICK_S:
-                self.stuck_s = min(STUCK_S, 2 * self.stuck_s)
-                self.leave(line)
-
-    def leave(self, line: Line) -> None:
-        """New calls go out on a new connection; what this one still owes may come late."""
-        log.info("leaving a connection that owes %d answers", len(line.out))
-        self.line = None
-        self.left.append(line)
-        self.loop.call_later(LATE_S, self.drop_left, line)
-        if len(self.left) > MOST_LEFT:
-            self.drop_left(self.left[0])
+    def check_stall(self) -> None:
+        """Abandon a connection that owes an answer and delivers nothing: its peer may have vanished."""
+        if (connection := self.connection) and connection.in_flight:
+            silent_s = self.loop.time() - max(connection.last_answer_s, connection.in_flight[0].sent_s)
+            if silent_s >= self.stall_s - CLOCK_TOLERANCE_S:
+                self.stall_s = min(MAX_STALL_S, 2 * self.stall_s)
+                self.abandon(connection)
+
+    def abandon(self, connection: CounterConnection) -> None:
+        """Send new calls on a new connection; this one stays open for late answers."""
+        log.info("abandoning a connection with %d unanswered calls", len(connection.in_flight))
+        self.connection = None
+        self.abandoned.append(connection)
+        self.loop.call_later(LATE_ANSWER_S, self.drop_abandoned, connection)
+        if len(self.abandoned) > MAX_ABANDONED:
+            self.drop_abandoned(self.abandoned[0])
         self.connect()
 
-    def drop_left(self, line: Line) -> None:
-        if line in self.left:
-            line.drop("no late answer either")
+    def drop_abandoned(self, connection: CounterConnection) -> None:
+        if connection in self.abandoned:
+            connection.drop("its late answers did not arrive in time")
 
-    def move(self, address: Address) -> None:
-        """A new configuration: what is out ends now, as it may have been added at the old address.
+    def change_address(self, address: Address) -> None:
+        """Use a new address; calls in flight end at once as timed out, since the old counter may have added
+        them.
 
-        Guards against answers out of turn: were it waited for, calls of one name could be answered at the
-        new address before those at the old one."""
+        If they were waited for, a call at the new address could be answered before an earlier call of the
+        same name at the old one."""
         if address == self.address:
             return
-        log.info("moving from %s:%d to %s:%d", *self.address, *address)
+        log.info("address changed from %s:%d to %s:%d", *self.address, *address)
         self.address = address
-        if self.opening:
-            self.opening.cancel()
-            self.opening = None
-        for line in [*self.left, *([self.line] if self.line else [])]:
-            line.drop("the counter has moved")
+        if self.connect_task:
+            self.connect_task.cancel()
+            self.connect_task = None
+        for connection in [*self.abandoned, *([self.connection] if self.connection else [])]:
+            connection.drop("the address of the counter has changed")
         self.connect()
 
     def connect(self) -> None:
-        if self.opening is None:
-            self.opening = self.loop.create_task(self.open())
+        if self.connect_task is None:
+            self.connect_task = self.loop.create_task(self.open_connection())
 
-    async def open(self) -> None:
-        line = Line(self)
+    async def open_connection(self) -> None:
+        connection = CounterConnection(self)
         try:
             async with asyncio.timeout(self.connect_timeout_s):
-                await self.loop.create_connection(lambda: line, *self.address)
+                await self.loop.create_connection(lambda: connection, *self.address)
         except (OSError, TimeoutError) as error:
-            log.warning("no connection: %s", error or "timed out")
-            self.opening = None
-            while self.waiting:
-                self.end(self.waiting.popleft(), Outcome.CONNECT_FAILED)
+            log.warning("cannot connect: %s", error or "timed out")
+            self.connect_task = None
+            while self.queued:
+                self.end_call(self.queued.popleft(), Outcome.CONNECT_FAILED)
             return
-        self.opening, self.line = None, line
-        while self.waiting:
-            line.write(self.waiting.popleft())
+        self.connect_task, self.connection = None, connection
+        while self.queued:
+            connection.send(self.queued.popleft())
 
-    def end(self, call: Call, outcome: Outcome, total: float = 0.0) -> None:
-        """Guards against a late answer being given to another caller: an ended call takes its own."""
+    def end_call(self, call: Call, outcome: Outcome, total: float = 0.0) -> None:
+        """Report the end of a call.
+
+        A timed-out call keeps its place in the connection's queue until its answer arrives; otherwise its
+        late answer would be taken for that of the next call."""
         if call.timer:
             call.timer.cancel()
             call.timer = None
-            self.ended(call, outcome, total)
+            self.on_end(call, outcome, total)
         elif outcome in (Outcome.OK, Outcome.FULL):
-            self.ended(call, outcome, total)  # late
+            self.on_end(call, outcome, total)  # late
 
-    def give_up(self, call: Call) -> None:
-        """Unanswered in time: what never reached a connection was not added."""
-        unsent = call in self.waiting
+    def time_out(self, call: Call) -> None:
+        """End a call that was not answered in time; one that was never sent was certainly not added."""
+        unsent = call in self.queued
         if unsent:
-            self.waiting.remove(call)
-        elif self.line and self.line.reader.has_unparsed_data():
-            # Guards against waiting out one call after another behind an answer that never comes to its end.
-            return self.line.drop("half an answer")
-        self.end(call, Outcome.CONNECT_FAILED if unsent else Outcome.TIMEOUT)
-        self.check()
+            self.queued.remove(call)
+        elif self.connection and self.connection.reader.has_unparsed_data():
+            # An answer has stopped half-way: every call behind it would wait for its full time-out.
+            return self.connection.drop("incomplete answer")
+        self.end_call(call, Outcome.CONNECT_FAILED if unsent else Outcome.TIMEOUT)
+        self.check_stall()
 
     def close(self) -> None:
-        if self.opening:
-            self.opening.cancel()
-        for line in [*self.left, *([self.line] if self.line else [])]:
-            line.transport.abort()
+        if self.connect_task:
+            self.connect_task.cancel()
+        for connection in [*self.abandoned, *([self.connection] if self.connection else [])]:
+            connection.transport.abort()
+
 
+def parse_total(message: resp.Message) -> tuple[Outcome, float]:
+    """Return OK and the total, or FULL if nothing was added.
 
-def read(reply: resp.Message) -> tuple[Outcome, float]:
-    """A total, or that nothing was added; after anything else it may have been."""
+    Raises StreamError for any other answer: the call may have been added."""
     if (
-        isinstance(reply, resp.SimpleElement)
-        and reply.kind == b"-"
-        and reply.text.split(b" ")[0] in (b"BUSY", b"ERR")
+        isinstance(message, resp.SimpleElement)
+        and message.kind == b"-"
+        and message.text.split(b" ")[0] in (b"BUSY", b"ERR")
     ):
         return Outcome.FULL, 0.0
     try:
-        total = float(reply) if isinstance(reply, bytes) else math.nan
+        total = float(message) if isinstance(message, bytes) else math.nan
     except ValueError:
         total = math.nan
     if not math.isfinite(total):
-        raise resp.StreamError("an answer of no known form")
+        raise resp.StreamError("an unexpected answer")
     return Outcome.OK, total
--- a/hookport/node.py
+++ b/hookport/node.py
@@ -170,7 +170,7 @@
             self.members.change_discovery("{}:{}".format(*config.discovery))
         self.discovery.move(config.discovery)
         if self.counter and config.counter:
-            self.counter.move(config.counter)
+            self.counter.change_address(config.counter)
         if config.settings != self.settings or config.listen != self.config.listen:
             log.warning("of a new configuration only discovery and counter count before a restart")
 
--- a/tests/test_bad_servers.py
+++ b/tests/test_bad_servers.py
@@ -147,7 +147,7 @@
             node = (await world.start()).node
             assert node and node.counter
             ends: list[Outcome] = []
-            node.counter.ended = lambda call, outcome, total: ends.append(outcome)
+            node.counter.on_end = lambda call, outcome, total: ends.append(outcome)
             node.counter.call(5, 1.0, 1000)
             await until(lambda: ends)
             world.counter.handler = saying(b"$1\r\n7\r\n")
@@ -167,7 +167,7 @@
             asyncio.get_running_loop(), ("127.0.0.1", stub.port), 0.01, 5.0,
             lambda call, how, total: ends.append(how),
         )  # fmt: skip
-        first_s = calls.stuck_s
+        first_s = calls.stall_s
 
         async def call() -> None:
             while stub.closed < 2:
@@ -175,7 +175,7 @@
                 await asyncio.sleep(0.01)
 
         await soon(call())
-        assert calls.stuck_s >= 4 * first_s  # each silent one in a row is waited for longer
+        assert calls.stall_s >= 4 * first_s  # each silent one in a row is waited for longer
         calls.close()
         stub.die()
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -399,9 +399,9 @@
             loop, ("127.0.0.1", stub.port), 0.05, 5.0, lambda c, how, total: ends.append((c.name, how, total))
         )
         calls.connect()
-        await until(lambda: calls.line)
+        await until(lambda: calls.connection)
         calls.call(1, 1.0, 10**9)
-        await until(lambda: ends and len(stub.commands) == 1 and calls.left)
+        await until(lambda: ends and len(stub.commands) == 1 and calls.abandoned)
         calls.timeout_s = 20.0
         calls.call(2, -2.5, 10**9)
         await until(lambda: len(stub.commands) == 2)
@@ -410,7 +410,7 @@
         await until(lambda: len(ends) == 2)
         assert ends == [(1, Outcome.TIMEOUT, 0.0), (2, Outcome.OK, 2.5)]
         stub.writers[0].write(b"$1\r\n1\r\n")  # on the connection that was left: the total still counts
-        await until(lambda: len(ends) == 3 and not calls.left)
+        await until(lambda: len(ends) == 3 and not calls.abandoned)
         assert ends.pop() == (1, Outcome.OK, 1.0)
         # nothing added and may have been added are told apart
         stub.handler = saying(b"-BUSY\r\n")
@@ -422,7 +422,7 @@
             await until(lambda: ends[-1][0] == 4)
             assert ends.pop()[1] is Outcome.TIMEOUT
         stub.die()
-        await until(lambda: calls.line is None)
+        await until(lambda: calls.connection is None)
         calls.call(5, 1.0, 10**9)
         await until(lambda: len(ends) == 4)
         assert [how for _, how, _ in ends[2:]] == [Outcome.FULL, Outcome.CONNECT_FAILED]
@@ -433,7 +433,7 @@
 
 def test_a_connection_to_a_counter_that_went_silent_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(counter, "STUCK_S", 0.0)
+        monkeypatch.setattr(counter, "MAX_STALL_S", 0.0)
         stub = await Stub(never).start()
         ends: list[Outcome] = []
         loop = asyncio.get_running_loop()
@@ -445,9 +445,9 @@
         stub.handler = saying(b"$1\r\n7\r\n")
         calls.call(1, 1.0, 10**9)
         await until(lambda: ends)
-        assert ends == [Outcome.OK] and len(calls.left) == 1 and len(stub.writers) == 2
-        calls.drop_left(calls.left[0])
-        assert ends == [Outcome.OK, Outcome.TIMEOUT] and not calls.left
+        assert ends == [Outcome.OK] and len(calls.abandoned) == 1 and len(stub.writers) == 2
+        calls.drop_abandoned(calls.abandoned[0])
+        assert ends == [Outcome.OK, Outcome.TIMEOUT] and not calls.abandoned
         calls.close()
         stub.die()
 
