--- a/hookport/node.py
+++ b/hookport/node.py
@@ -351,7 +351,7 @@
 
     def send_to_peers(self, peer: int | None, payload: bytes) -> None:
         if self.peers:
-            self.peers.tell(peer, payload)
+            self.peers.send(peer, payload)
 
     def probe(self, server: bytes, ended: Callable[[bool], None]) -> None:
         self.servers.probe(server, ended)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -50,19 +50,19 @@
             await one.start(addresses[n])
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         stranger.sendto(b"here", addresses[1])
-        both[0].tell(None, b"here")
-        both[0].tell(1, b"you")
+        both[0].send(None, b"here")
+        both[0].send(1, b"you")
         await until(lambda: len(heard[1]) == 2)
         assert heard == [[], [(0, b"here"), (0, b"you")]]
         with pytest.raises(ValueError, match="256 at most"):
-            both[0].tell(1, bytes(257))
-        both[1].second, both[1].taken = int(loop.time()), peers.TAKEN_A_SECOND
+            both[0].send(1, bytes(257))
+        both[1].current_second, both[1].received_count = int(loop.time()), peers.MAX_RECEIVED_PER_SECOND
         both[1].datagram_received(b"flood", addresses[0])
-        assert len(heard[1]) == 2 or both[1].second != int(loop.time())
+        assert len(heard[1]) == 2 or both[1].current_second != int(loop.time())
         stranger.close()
         for one in both:
             one.close()
-        both[0].tell(1, b"after the end")
+        both[0].send(1, b"after the end")
 
     asyncio.run(scenario())
 
@@ -89,7 +89,7 @@
     twice = parse_config(told([5, 5], 0, peers=["127.0.0.1:5", "127.0.0.1:5"]), {})
     assert caplog.messages == ["peers[1] is the address of peers[0]: the first is used"]
     loop = asyncio.new_event_loop()
-    assert peers.Peers(loop, twice.peers, None, 1, lambda *_: None).indexes == {("127.0.0.1", 5): 0}
+    assert peers.Peers(loop, twice.peers, None, 1, lambda *_: None).index_by_address == {("127.0.0.1", 5): 0}
     loop.close()
     with pytest.raises(ConfigError, match="peers has 1 addresses for 2 limiters"):
         raw = told([5, 6], 0)
