--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -1,4 +1,4 @@
-"""Clients that send what cannot be used, say nothing or do not read: each costs little and ends soon."""
+"""Clients that send invalid input, stay silent or do not read: each costs little and is closed soon."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,20 +14,20 @@
     uvloop.run(scenario())  # type: ignore[arg-type]
 
 
-async def ended(client: Client) -> list[str]:
-    """All that the limiter says until it closes."""
-    said = []
+async def replies_until_close(client: Client) -> list[str]:
+    """All replies until the limiter closes the connection."""
+    replies = []
     with pytest.raises(EOFError):
         while True:
-            said.append(str(await client.answer()))
-    return said
+            replies.append(str(await client.answer()))
+    return replies
 
 
 @pytest.mark.parametrize(
     "head", [b"*1000000000\r\n", b"*4\r\n*400000000\r\n", b"*9\r\n", b"*4\r\n$65537\r\n"]
 )
-def test_what_a_length_announces_costs_nothing_before_its_bytes_come(head: bytes) -> None:
-    # Guards against an array made as long as its header says: letting go of it takes a second of CPU.
+def test_announced_length_allocates_nothing_before_its_bytes_arrive(head: bytes) -> None:
+    """Allocating and freeing an array as long as its header says would take a second of CPU."""
     reader = resp.Reader(8)
     reader.feed(head)
     with pytest.raises(resp.StreamError):
@@ -37,14 +37,14 @@
 @pytest.mark.parametrize(
     "text", [b"kkkk", b"*-3\r\n", b"*x\r\n", b"$3\r\nabcd\r\n", b"+" + b"k" * 600, b"*1\n"]
 )
-def test_what_is_no_message_is_found_as_soon_as_it_is_there(text: bytes) -> None:
+def test_invalid_input_is_detected_as_soon_as_it_arrives(text: bytes) -> None:
     reader = resp.Reader(8)
     reader.feed(text)
     with pytest.raises(resp.StreamError):
         reader.gets()
 
 
-def test_messages_come_whole_however_they_are_cut() -> None:
+def test_messages_are_parsed_however_the_stream_is_split() -> None:
     text = b"*3\r\n$5\r\na\r\nbc\r\n$-1\r\n:7\r\n+OK\r\n$0\r\n\r\n-ERR no\r\n*-1\r\n"
     for size in range(1, len(text) + 1):
         reader, got = resp.Reader(3), []
@@ -56,10 +56,12 @@
             [b"a\r\nbc", None, resp.SimpleElement(b":", b"7")], resp.SimpleElement(b"+", b"OK"), b"",
             resp.SimpleElement(b"-", b"ERR no"), None,
         ]  # fmt: skip
-        assert not reader.has_unparsed_data() and not reader.buffer  # an idle connection keeps nothing
+        assert not reader.has_unparsed_data() and not reader.buffer  # an idle connection holds no memory
 
 
-def test_who_says_nothing_or_half_a_command_is_told_and_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_client_or_partial_command_gets_an_error_and_is_closed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(clients, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
         async with World(serve) as world:
@@ -73,21 +75,21 @@
             assert await later.ask(*query(1)) == b"value"
             later.writer.write(b"*4\r\n")
             for client in (silent, half, later):
-                assert await ended(client) == ["ERR no command in time"]
-            assert await ended(greeted) == []
+                assert await replies_until_close(client) == ["ERR no command in time"]
+            assert await replies_until_close(greeted) == []
             await until(lambda: not node.clients.connections)
 
     run(scenario)
 
 
-def test_a_bad_command_closes_a_connection_that_never_brought_a_good_one() -> None:
+def test_invalid_command_closes_a_connection_without_a_valid_request() -> None:
     async def scenario() -> None:
         async with World(serve) as world:
             await world.start()
             bad, good = await world.client(), await world.client()
             for _ in range(300):
                 bad.send(*query(wait_ms=0))
-            assert len(await ended(bad)) == 1
+            assert len(await replies_until_close(bad)) == 1
             assert await good.ask(*query(1)) == b"value"
             assert str(await good.ask(*query(2, wait_ms=0))).startswith("ERR d ")
             assert await good.ask(*query(3)) == b"value"
@@ -95,7 +97,7 @@
     run(scenario)
 
 
-def test_what_is_open_on_a_connection_that_is_broken_off_fails_at_once() -> None:
+def test_pending_requests_fail_at_once_when_their_connection_is_closed_with_an_error() -> None:
     async def scenario() -> None:
         async with World(hold, hold) as world:
             client, node = await (await world.start()).client(), world.node
@@ -104,40 +106,45 @@
             assert node
             await until(lambda: node.attempts)
             client.writer.write(b"noise\r\n")
-            said = await ended(client)
-            assert said[0].startswith("ERR failed") and said[1] == "b'PONG'" and said[2].startswith("ERR ")
+            replies = await replies_until_close(client)
+            assert (
+                replies[0].startswith("ERR failed")
+                and replies[1] == "b'PONG'"
+                and replies[2].startswith("ERR ")
+            )
             assert not node.open_requests and not node.limiter.pending
 
     run(scenario)
 
 
-def test_an_id_that_is_open_or_was_is_not_taken_again() -> None:
-    # Guards against two attempts under one id, which a server cannot tell from one effect twice.
+def test_request_id_in_use_or_used_lately_is_rejected() -> None:
+    """With two requests under one id, a server could not tell a new request from a retry."""
+
     async def scenario() -> None:
         async with World(hold) as world:
-            client, thief = await (await world.start()).client(), await world.client()
+            client, other = await (await world.start()).client(), await world.client()
             client.send(*query(1))
             await until(lambda: world.stubs[0].commands)
-            assert await ended_with(thief, "ERR the id is in use")
+            assert await closed_with(other, "ERR the id is in use")
             world.stubs[0].release.set()
             assert await client.answer() == b"value"
-            assert await ended_with(await world.client(), "ERR the id is in use")
+            assert await closed_with(await world.client(), "ERR the id is in use")
             assert await client.ask(*query(2)) == b"value"
             assert len(world.stubs[0].commands) == 2
 
-    async def ended_with(client: Client, text: str) -> bool:
+    async def closed_with(client: Client, text: str) -> bool:
         client.send(*query(1, customer=8))
-        return await ended(client) == [text]
+        return await replies_until_close(client) == [text]
 
     run(scenario)
 
 
-def test_ids_are_forgotten_after_the_longest_deadline() -> None:
+def test_request_ids_are_forgotten_after_the_longest_deadline() -> None:
     async def scenario() -> None:
         async with World(serve) as world:
             node = (await world.start()).node
             assert node
-            node.longest_ns = 0  # each id begins a set anew
+            node.longest_ns = 0  # each request starts a new set
             client = await world.client()
             for n in range(50):
                 assert await client.ask(*query(n)) == b"value"
@@ -157,20 +164,21 @@
         b"c=lookup,t=team,d=6001,units=1,spread=1,first=0",
     ],
 )
-def test_values_beyond_the_settings_never_reach_the_module(fields: bytes) -> None:
-    # In a usual customer's name they would put its next ticket out of reach, or size its slice wrongly.
+def test_values_beyond_the_settings_never_reach_the_decision_module(fields: bytes) -> None:
+    """They would put the customer's next ticket out of reach or give its share the wrong size."""
+
     async def scenario() -> None:
         async with World(serve) as world:
             client = await (await world.start()).client()
             client.send(*query()[:3], fields)
-            assert len(await ended(client)) == 1
+            assert len(await replies_until_close(client)) == 1
             assert world.node and not world.node.limiter.accounts
             assert await (await world.client()).ask(*query(2)) == b"value"
 
     run(scenario)
 
 
-def test_who_never_asked_makes_room_first(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connections_without_a_request_are_evicted_first(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(clients, "EVICTION_GRACE_S", 0.0)
         monkeypatch.setattr(clients, "MAX_IDLE_SHARE", 1.0)
@@ -178,22 +186,22 @@
             node = (await world.start()).node
             assert node
             node.clients.max_connections = 3
-            used, greeted, silent = [await world.client() for _ in range(3)]
-            assert await used.ask(*query(1)) == b"value"
+            active, greeted, silent = [await world.client() for _ in range(3)]
+            assert await active.ask(*query(1)) == b"value"
             assert await greeted.ask(b"PING") == b"PONG"
             await until(lambda: len(node.clients.connections) == 3)
             newest = await world.client()
-            assert await ended(silent) == []
+            assert await replies_until_close(silent) == []
             assert await newest.ask(*query(2)) == b"value"
             last = await world.client()
-            assert await ended(greeted) == []
+            assert await replies_until_close(greeted) == []
             assert await last.ask(*query(3)) == b"value"
-            assert await used.ask(*query(4)) == b"value"
+            assert await active.ask(*query(4)) == b"value"
 
     run(scenario)
 
 
-def test_who_does_not_read_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_that_does_not_read_its_replies_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(clients, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
         async with World(serve) as world:
@@ -211,31 +219,31 @@
     run(scenario)
 
 
-def test_more_commands_than_may_be_unanswered_are_all_answered_in_turn() -> None:
+def test_pipelined_commands_beyond_the_limit_are_all_answered_in_order() -> None:
     async def scenario() -> None:
         async with World(serve) as world:
             client = await (await world.start()).client()
-            most = 0
+            most_pending = 0
             node = world.node
             assert node
-            take = node.clients.on_request
+            on_request = node.clients.on_request
 
             def count(words: object, answer: clients.PendingReply) -> None:
-                nonlocal most
-                most = max(most, len(answer.connection.pending_replies))
-                take(words, answer)  # type: ignore[arg-type]
+                nonlocal most_pending
+                most_pending = max(most_pending, len(answer.connection.pending_replies))
+                on_request(words, answer)  # type: ignore[arg-type]
 
             node.clients.on_request = count
             for n in range(300):
                 client.send(*query(n, customer=n))
-            said = [await client.answer() for _ in range(300)]
-            assert {str(reply) for reply in said} <= {"b'value'", "BUSY 1000"} and said[0] == b"value"
-            assert 1 < most <= clients.MAX_PIPELINED
+            replies = [await client.answer() for _ in range(300)]
+            assert {str(reply) for reply in replies} <= {"b'value'", "BUSY 1000"} and replies[0] == b"value"
+            assert 1 < most_pending <= clients.MAX_PIPELINED
 
     run(scenario)
 
 
-def test_a_connection_that_stays_idle_for_long_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_that_is_idle_for_too_long_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(clients, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
         async with World(serve) as world:
@@ -245,28 +253,28 @@
             assert await client.ask(*query(1)) == b"value"
             await asyncio.sleep(0)
             node.clients.idle.timeout_s = 0.0
-            assert await ended(client) == []
+            assert await replies_until_close(client) == []
 
     run(scenario)
 
 
-def test_connections_kept_after_one_request_give_their_places_to_those_who_ask() -> None:
+def test_idle_connections_are_evicted_for_clients_with_requests() -> None:
     async def scenario() -> None:
         async with World(serve) as world:
             await world.start()
             assert world.node
             world.node.clients.max_connections = 20
-            kept = [await world.client() for _ in range(7)]
-            for n, client in enumerate(kept):
+            idle = [await world.client() for _ in range(7)]
+            for n, client in enumerate(idle):
                 assert await client.ask(*query(n)) == b"value"
             await asyncio.sleep(clients.EVICTION_GRACE_S + 0.02)
             new = [await world.client() for _ in range(3)]
-            for n, client in enumerate(new):  # each, once served, takes the place of the longest idle
+            for n, client in enumerate(new):  # each, once served, evicts the connection that is idle longest
                 assert await client.ask(*query(10 + n)) == b"value"
-            for client in kept[:3]:
+            for client in idle[:3]:
                 with pytest.raises(EOFError):
                     await client.answer()
-            assert await kept[-1].ask(*query(20)) == b"value"
+            assert await idle[-1].ask(*query(20)) == b"value"
             assert world.node.clients.close_counts["evicted while idle"] == 3
 
     run(scenario)
--- a/tests/test_bad_servers.py
+++ b/tests/test_bad_servers.py
@@ -1,4 +1,4 @@
-"""Servers and a counter whose answers are spoilt: no wrong value goes on, and no connection is used again."""
+"""Servers and a counter with invalid answers: no wrong value is passed on, no such connection is reused."""
 
 import asyncio
 import os
@@ -28,7 +28,7 @@
         (b"WHAT is this", None),
     ],
 )
-def test_only_what_is_just_as_agreed_says_that_nothing_ran(text: bytes, outcome: Outcome | None) -> None:
+def test_only_a_well_formed_error_counts_as_not_executed(text: bytes, outcome: Outcome | None) -> None:
     if outcome is None:
         with pytest.raises(resp.StreamError):
             servers.read(resp.SimpleElement(b"-", text))
@@ -36,7 +36,7 @@
         assert servers.read(resp.SimpleElement(b"-", text)) == (outcome, b"")
 
 
-def test_a_report_that_cannot_be_read_harms_no_value() -> None:
+def test_value_is_served_although_its_load_report_is_unreadable() -> None:
     async def scenario() -> None:
         async with World(saying(b"*3\r\n$5\r\nvalue\r\n$3\r\n\xff\xfe\xfd\r\n:9\r\n")) as world:
             client = await (await world.start()).client()
@@ -45,16 +45,16 @@
     run(scenario)
 
 
-async def noisy(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
-    """A good answer, and a second copy of it a little later."""
+async def answer_twice(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    """Send a valid answer and, one millisecond later, a copy of it."""
     writer.write(VALUE.replace(b"value", words[2][-5:]))
     await asyncio.sleep(0.001)
     writer.write(VALUE.replace(b"value", words[2][-5:]))
 
 
-def test_what_comes_behind_an_answer_is_not_taken_for_the_next_one() -> None:
+def test_bytes_behind_an_answer_are_not_taken_for_the_next_answer() -> None:
     async def scenario() -> None:
-        async with World(noisy) as world:
+        async with World(answer_twice) as world:
             client = await (await world.start()).client()
             for n in range(10, 40):
                 assert await client.ask(*submit(n)) == b"%05x" % n
@@ -62,7 +62,7 @@
     run(scenario)
 
 
-def test_a_connection_with_something_unread_is_not_used(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_with_unread_data_is_not_reused(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(servers, "REST_S", -1.0)
         async with World(serve) as world:
@@ -71,7 +71,7 @@
             assert world.node
             pool = world.node.servers
             await until(lambda: pool.idle.get(b"s-0"))
-            # written past the loop, so that the limiter has had no turn to read it
+            # written directly to the socket, so that the limiter's loop has not read it yet
             os.write(world.stubs[0].writers[0].get_extra_info("socket").fileno(), VALUE)
             assert pool.warm(b"s-0") is None
             await until(lambda: not pool.links)
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("text", [b"*3\r\n$9\r\nval", b"*3\r\n$5\r\nvalue\r\n", b"-ERR", b"*3"])
-def test_half_an_answer_is_waited_for_no_longer_than_it_takes(
+def test_incomplete_answer_fails_the_attempt_after_the_stall_timeout(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, text: bytes
 ) -> None:
     async def scenario() -> None:
@@ -93,7 +93,7 @@
     run(scenario)
 
 
-def test_what_is_kept_by_server_goes_with_it() -> None:
+def test_state_of_a_server_is_removed_with_the_server() -> None:
     async def scenario() -> None:
         async with World(serve) as world:
             client, node = await (await world.start()).client(), world.node
@@ -118,7 +118,7 @@
     run(scenario)
 
 
-def test_a_connection_that_ends_its_work_after_its_server_left_is_not_kept() -> None:
+def test_connection_is_not_kept_if_its_server_was_removed_during_the_request() -> None:
     async def late(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
         await stub.release.wait()
         writer.write(VALUE)
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("text", [b"$9\r\n12", b"+what", b"-WHAT\r\n", b"$3\r\nabc\r\n", b"$900\r\n"])
-def test_a_spoilt_total_may_have_been_added_and_its_connection_goes(text: bytes) -> None:
+def test_invalid_total_counts_as_timed_out_and_closes_the_connection(text: bytes) -> None:
     async def scenario() -> None:
         async with World(serve, count=saying(text)) as world:
             node = (await world.start()).node
@@ -159,7 +159,7 @@
     run(scenario)
 
 
-def test_a_silent_counter_connection_is_left_soon_and_a_silent_counter_not_pestered() -> None:
+def test_silent_counter_connection_is_replaced_with_growing_delays() -> None:
     async def scenario() -> None:
         stub = await Stub(never).start()
         ends: list[Outcome] = []
@@ -175,14 +175,14 @@
                 await asyncio.sleep(0.01)
 
         await soon(call())
-        assert calls.stall_s >= 4 * first_s  # each silent one in a row is waited for longer
+        assert calls.stall_s >= 4 * first_s  # the wait doubles with each silent connection in a row
         calls.close()
         stub.die()
 
     run(scenario)
 
 
-def test_a_value_larger_than_any_that_clients_send_goes_on() -> None:
+def test_value_larger_than_any_client_may_send_is_passed_on() -> None:
     async def scenario() -> None:
         value = b"x" * 400_000
         async with World(saying(b"*3\r\n$400000\r\n%s\r\n$-1\r\n$-1\r\n" % value)) as world:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -17,13 +17,13 @@
 PROBE = "import sys, hookport.node; print('hookport.peers' in sys.modules)"
 
 
-def told(peer_ports: list[int], own: int, **more: object) -> dict[str, object]:
+def configuration(peer_ports: list[int], own: int, **overrides: object) -> dict[str, object]:
     raw = settings()
     raw.update(selfIndex=own, siblings=len(peer_ports))
     raw["bounds"]["peerMessages"] = True
     addresses = [f"127.0.0.1:{port}" for port in peer_ports]
     base = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "counter": "127.0.0.1:1", "settings": raw}
-    return {**base, "peer_listen": addresses[own], "peers": addresses, **more}
+    return {**base, "peer_listen": addresses[own], "peers": addresses, **overrides}
 
 
 def free_ports(count: int) -> list[int]:
@@ -36,14 +36,16 @@
     return ports
 
 
-def test_limiters_hear_one_another_and_nobody_else() -> None:
+def test_only_datagrams_of_other_limiters_within_the_limits_are_received() -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        heard: list[list[tuple[int, bytes]]] = [[], []]
+        received: list[list[tuple[int, bytes]]] = [[], []]
         ports = free_ports(2)
         addresses = [("127.0.0.1", port) for port in ports]
         both = [
-            peers.Peers(loop, addresses, None, n, lambda who, what, n=n: heard[n].append((who, what)))  # type: ignore[misc]
+            peers.Peers(
+                loop, addresses, None, n, lambda sender, data, n=n: received[n].append((sender, data))
+            )  # type: ignore[misc]
             for n in range(2)
         ]
         for n, one in enumerate(both):
@@ -52,13 +54,13 @@
         stranger.sendto(b"here", addresses[1])
         both[0].send(None, b"here")
         both[0].send(1, b"you")
-        await until(lambda: len(heard[1]) == 2)
-        assert heard == [[], [(0, b"here"), (0, b"you")]]
+        await until(lambda: len(received[1]) == 2)
+        assert received == [[], [(0, b"here"), (0, b"you")]]
         with pytest.raises(ValueError, match="256 at most"):
             both[0].send(1, bytes(257))
         both[1].current_second, both[1].received_count = int(loop.time()), peers.MAX_RECEIVED_PER_SECOND
         both[1].datagram_received(b"flood", addresses[0])
-        assert len(heard[1]) == 2 or both[1].current_second != int(loop.time())
+        assert len(received[1]) == 2 or both[1].current_second != int(loop.time())
         stranger.close()
         for one in both:
             one.close()
@@ -67,12 +69,12 @@
     asyncio.run(scenario())
 
 
-def test_two_nodes_tell_that_they_live() -> None:
+def test_two_nodes_receive_each_others_heartbeats() -> None:
     async def scenario() -> None:
         ports = free_ports(2)
         async with World(serve):
             loop = asyncio.get_running_loop()
-            nodes = [Node(parse_config(told(ports, own), {}), loop) for own in range(2)]
+            nodes = [Node(parse_config(configuration(ports, own), {}), loop) for own in range(2)]
             for node in nodes:
                 await node.start()
             await until(
@@ -85,21 +87,21 @@
     asyncio.run(scenario())
 
 
-def test_peers_that_do_not_fit_the_settings_are_named(caplog: pytest.LogCaptureFixture) -> None:
-    twice = parse_config(told([5, 5], 0, peers=["127.0.0.1:5", "127.0.0.1:5"]), {})
+def test_peer_addresses_that_do_not_match_the_settings_are_reported(caplog: pytest.LogCaptureFixture) -> None:
+    twice = parse_config(configuration([5, 5], 0, peers=["127.0.0.1:5", "127.0.0.1:5"]), {})
     assert caplog.messages == ["peers[1] is the address of peers[0]: the first is used"]
     loop = asyncio.new_event_loop()
     assert peers.Peers(loop, twice.peers, None, 1, lambda *_: None).index_by_address == {("127.0.0.1", 5): 0}
     loop.close()
     with pytest.raises(ConfigError, match="peers has 1 addresses for 2 limiters"):
-        raw = told([5, 6], 0)
+        raw = configuration([5, 6], 0)
         raw["peers"] = ["127.0.0.1:5"]
         parse_config(raw, {})
     with pytest.raises(ConfigError, match=r"peers\[1\] is not an address"):
-        parse_config(told([5, 6], 0, peers=["127.0.0.1:5", "nowhere"]), {})
-    assert parse_config(told([5, 6], 0, peer_listen=None), {}).peers == ()
+        parse_config(configuration([5, 6], 0, peers=["127.0.0.1:5", "nowhere"]), {})
+    assert parse_config(configuration([5, 6], 0, peer_listen=None), {}).peers == ()
 
 
-def test_what_is_off_is_not_imported() -> None:
+def test_peers_module_is_not_imported_when_it_is_off() -> None:
     out = subprocess.run([sys.executable, "-c", PROBE], capture_output=True, text=True, check=True)
     assert out.stdout.strip() == "False"
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""Where real sockets bite: each test guards against one way to lose, repeat or mistake something."""
+"""The limiter on real sockets: no request is lost, executed twice or answered with another's value."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -31,7 +31,7 @@
     uvloop.run(scenario())  # type: ignore[arg-type]
 
 
-def sent(world: World) -> list[list[bytes]]:
+def commands_sent(world: World) -> list[list[bytes]]:
     return [words for stub in world.stubs for words in stub.commands]
 
 
@@ -55,11 +55,11 @@
         (*query()[:3], query()[3].replace(b"spread=1", b"spread=1.5")),
         query(wait_ms=0),
         query(wait_ms=10**15),
-        query(more=b",units=2"),
-        query(more=b",nonsense"),
-        query(more=b",,r=1"),
-        query(more=b","),
-        query(more=b",d=7"),
+        query(extra=b",units=2"),
+        query(extra=b",nonsense"),
+        query(extra=b",,r=1"),
+        query(extra=b","),
+        query(extra=b",d=7"),
         (*query()[:3], query()[3].replace(b"units=1", b"units=nan")),
         (*query()[:3], query()[3].replace(b"units=1", b"units=x")),
         (*query()[:3], query()[3].replace(b"spread=1", b"spread=0")),
@@ -69,24 +69,24 @@
         (b"HELLO", b"3"),
     ],
 )
-def test_a_malformed_command_is_an_error_and_reaches_no_server(words: tuple[bytes, ...]) -> None:
+def test_malformed_command_gets_an_error_and_reaches_no_server(words: tuple[bytes, ...]) -> None:
     async def scenario() -> None:
         async with World(serve) as world:
             client = await (await world.start()).client()
             assert str(await client.ask(*words)).startswith("ERR ")
-            assert not sent(world)
+            assert not commands_sent(world)
             assert await (await world.client()).ask(*query(2)) == b"value"
 
     run(scenario)
 
 
 @pytest.mark.parametrize("noise", [b"GET / HTTP/1.1\r\n\r\n", b"*-7\r\n", b"*4000000000\r\n", b"$-9\r\n"])
-def test_a_stream_that_is_no_resp_is_closed_whatever_was_asked_before(noise: bytes) -> None:
+def test_input_that_is_not_resp_closes_the_connection_and_fails_pending_requests(noise: bytes) -> None:
     async def scenario() -> None:
         async with World(hold) as world:
             client = await (await world.start()).client()
             client.send(*query())
-            await until(lambda: sent(world))
+            await until(lambda: commands_sent(world))
             client.writer.write(noise)
             assert str(await client.answer()) == "ERR failed: the connection is closed"
             assert str(await client.answer()).startswith("ERR ")
@@ -98,7 +98,7 @@
     run(scenario)
 
 
-def test_a_command_without_end_is_cut_off() -> None:
+def test_oversized_command_closes_the_connection() -> None:
     async def scenario() -> None:
         async with World(serve) as world:
             client = await (await world.start()).client()
@@ -110,29 +110,29 @@
     run(scenario)
 
 
-def test_what_goes_on_to_a_server_is_the_same_but_for_the_wait() -> None:
+def test_forwarded_command_differs_only_in_the_wait() -> None:
     async def scenario() -> None:
         async with World(serve) as world:
             client = await (await world.start()).client()
-            asked = submit(body=b"x" * 65536)
-            assert await client.ask(*asked[:3], asked[3] + b",k=55,r=1", asked[4]) == b"value"
-            (words,) = sent(world)
-            assert words[:3] == list(asked[:3]) and words[4] == asked[4]
-            before, after = asked[3].split(b"3000")
+            command = submit(body=b"x" * 65536)
+            assert await client.ask(*command[:3], command[3] + b",k=55,r=1", command[4]) == b"value"
+            (words,) = commands_sent(world)
+            assert words[:3] == list(command[:3]) and words[4] == command[4]
+            before, after = command[3].split(b"3000")
             assert words[3].startswith(before) and words[3].endswith(after + b",k=55,r=1")
             assert 0 < int(words[3][len(before) :].split(b",")[0]) < 3000
 
     run(scenario)
 
 
-def test_answers_come_in_the_order_of_the_commands() -> None:
+def test_replies_keep_the_order_of_the_commands() -> None:
     async def scenario() -> None:
         async with World(hold, hold) as world:
             client = await (await world.start()).client()
             client.send(*query(1))
             client.send(b"PING")
             client.send(*query(2, customer=8))
-            await until(lambda: len(sent(world)) == 2)
+            await until(lambda: len(commands_sent(world)) == 2)
             for stub in world.stubs:
                 stub.release.set()
             assert [await client.answer() for _ in range(3)] == [b"value", b"PONG", b"value"]
@@ -140,7 +140,7 @@
     run(scenario)
 
 
-def test_a_warm_connection_is_used_again_and_one_that_ended_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_server_connection_is_reused_unless_it_was_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(servers, "REST_S", -1.0)
         async with World(serve) as world:
@@ -158,8 +158,9 @@
     run(scenario)
 
 
-def test_a_restarted_server_is_not_written_to_on_an_old_connection() -> None:
-    # Guards against the reset of a connection to a machine that came back: its request may have run.
+def test_connection_from_before_a_server_restart_is_not_reused() -> None:
+    """A restarted server resets old connections, and a request lost in a reset may have been executed."""
+
     async def scenario() -> None:
         async with World(serve) as world:
             client = await (await world.start()).client()
@@ -175,15 +176,16 @@
     run(scenario)
 
 
-def test_after_a_time_out_no_warm_connection_is_trusted(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against a machine that vanished in silence swallowing one request for each open connection.
+def test_timeout_closes_all_idle_connections_to_the_server(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A server that vanished without closing its connections would swallow one request on each of them."""
+
     async def scenario() -> None:
         monkeypatch.setattr(servers, "REST_S", -1.0)
         async with World(hold) as world:
             client = await (await world.start()).client()
             client.send(*submit(1))
             client.send(*submit(2))
-            await until(lambda: len(sent(world)) == 2)
+            await until(lambda: len(commands_sent(world)) == 2)
             world.stubs[0].release.set()
             assert [await client.answer() for _ in range(2)] == [b"value"] * 2
             world.stubs[0].handler = never
@@ -193,7 +195,7 @@
     run(scenario)
 
 
-def test_a_known_list_that_cannot_be_read_leaves_it_to_the_watch() -> None:
+def test_invalid_known_list_leaves_the_servers_to_discovery() -> None:
     async def scenario() -> None:
         async with World(serve) as world:
             told = world.configuration()
@@ -207,18 +209,19 @@
     run(scenario)
 
 
-def test_a_break_after_the_request_was_written_may_have_run() -> None:
-    # Guards against an unsafe request being sent again, or refused, after its connection broke.
+def test_unsafe_request_is_not_retried_after_its_connection_breaks() -> None:
+    """Once written, the request may have been executed: a retry could repeat it, a refusal would deny it."""
+
     async def scenario() -> None:
         async with World(reset, reset) as world:
             client = await (await world.start()).client()
             assert str(await client.ask(*submit())) == "ERR failed"
-            assert len(sent(world)) == 1
+            assert len(commands_sent(world)) == 1
 
     run(scenario)
 
 
-def test_a_refused_connection_never_ran_and_is_tried_elsewhere() -> None:
+def test_refused_connection_is_retried_on_another_server() -> None:
     async def scenario() -> None:
         async with World(serve, serve) as world:
             world.stubs[0].die()
@@ -231,7 +234,7 @@
 
 
 class HalfWritten:
-    """A transport that takes a part of what is written."""
+    """A transport that keeps a part of each write in its buffer."""
 
     def __init__(self) -> None:
         self.left, self.closing = 100, False
@@ -253,7 +256,7 @@
 
 
 @pytest.mark.parametrize(("drained", "outcome"), [(False, Outcome.CONNECT_FAILED), (True, Outcome.RESET)])
-def test_what_lies_in_a_buffer_is_not_written(drained: bool, outcome: Outcome) -> None:
+def test_request_counts_as_written_only_when_the_buffer_is_empty(drained: bool, outcome: Outcome) -> None:
     async def scenario() -> None:
         async with World(serve) as world:
             await world.start()
@@ -276,7 +279,7 @@
 @pytest.mark.parametrize(
     "text", [b"what is this\r\n", b"+OK\r\n", b":5\r\n", b"*1\r\n$-1\r\n", b"*0\r\n", b"*900000000000\r\n"]
 )
-def test_garbage_from_a_server_ends_the_attempt_and_its_connection(text: bytes) -> None:
+def test_invalid_answer_fails_the_attempt_and_closes_the_connection(text: bytes) -> None:
     async def scenario() -> None:
         async with World(saying(text)) as world:
             client = await (await world.start()).client()
@@ -288,7 +291,7 @@
     run(scenario)
 
 
-def test_more_than_an_answer_is_not_given_to_the_next_request() -> None:
+def test_bytes_behind_an_answer_are_not_given_to_the_next_request() -> None:
     async def scenario() -> None:
         async with World(saying(VALUE + VALUE.replace(b"value", b"other"))) as world:
             client = await (await world.start()).client()
@@ -299,7 +302,7 @@
     run(scenario)
 
 
-def test_a_server_that_turns_away_leads_to_another_or_to_a_refusal() -> None:
+def test_busy_server_leads_to_another_server_or_to_a_busy_reply() -> None:
     async def scenario() -> None:
         async with World(saying(b"-BUSY\r\n"), serve) as world:
             client = await (await world.start()).client()
@@ -312,7 +315,7 @@
     run(scenario)
 
 
-def test_a_silent_server_costs_an_answer_in_time_and_its_connection() -> None:
+def test_silent_server_fails_the_request_in_time_and_loses_its_connection() -> None:
     async def scenario() -> None:
         async with World(never) as world:
             client = await (await world.start()).client()
@@ -323,14 +326,15 @@
     run(scenario)
 
 
-def test_what_is_held_at_sigterm_is_answered_before_the_kill(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against a request whose deadline lies beyond the time that a stopping process is let live.
+def test_pending_requests_are_answered_between_sigterm_and_kill(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A request whose deadline lies behind the kill would otherwise get no answer."""
+
     async def scenario() -> None:
         monkeypatch.setattr(node, "KILL_AFTER_NS", 0)
         async with World(never) as world:
             client = await (await world.start()).client()
             client.send(*submit(wait_ms=6000))
-            await until(lambda: sent(world))
+            await until(lambda: commands_sent(world))
             assert world.node
             world.node.shut_down()
             world.node.shut_down()
@@ -340,7 +344,7 @@
     run(scenario)
 
 
-def test_connections_long_idle_are_closed_and_the_sweep_ends_with_them() -> None:
+def test_idle_server_connections_time_out_and_the_sweep_stops_with_the_last() -> None:
     async def scenario() -> None:
         async with World(serve) as world:
             client = await (await world.start()).client()
@@ -354,12 +358,12 @@
     run(scenario)
 
 
-def test_a_client_that_goes_away_frees_what_it_held() -> None:
+def test_client_that_disconnects_releases_its_request() -> None:
     async def scenario() -> None:
         async with World(hold) as world:
             client = await (await world.start()).client()
             client.send(*submit())
-            await until(lambda: sent(world))
+            await until(lambda: commands_sent(world))
             client.writer.close()
             assert world.node
             limiter = world.node
@@ -371,7 +375,9 @@
     run(scenario)
 
 
-def test_a_module_that_raises_is_told_and_fails_the_request(caplog: pytest.LogCaptureFixture) -> None:
+def test_exception_in_the_decision_module_is_logged_and_fails_the_request(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     async def scenario() -> None:
         async with World(serve) as world:
             client = await (await world.start()).client()
@@ -382,7 +388,8 @@
             world.stubs[0].handler = reset
             assert str(await client.ask(*submit())) == "ERR internal error"
             assert "ZeroDivisionError" in caplog.text
-            assert not world.node.limiter.pending  # or the module would send what is answered already
+            # otherwise the limiter would send a request that is already answered
+            assert not world.node.limiter.pending
             handlers[AttemptEnded] = ended
             world.stubs[0].handler = serve
             assert await client.ask(*query(2)) == b"value"
@@ -390,7 +397,7 @@
     run(scenario)
 
 
-def test_a_late_answer_of_the_counter_is_not_given_to_the_next_caller() -> None:
+def test_late_counter_answer_is_not_given_to_the_next_call() -> None:
     async def scenario() -> None:
         stub = await Stub(never).start()
         ends: list[tuple[int, Outcome, float]] = []
@@ -409,10 +416,10 @@
         stub.writers[1].write(b"$3\r\n2.5\r\n")
         await until(lambda: len(ends) == 2)
         assert ends == [(1, Outcome.TIMEOUT, 0.0), (2, Outcome.OK, 2.5)]
-        stub.writers[0].write(b"$1\r\n1\r\n")  # on the connection that was left: the total still counts
+        stub.writers[0].write(b"$1\r\n1\r\n")  # on the abandoned connection: the total is still reported
         await until(lambda: len(ends) == 3 and not calls.abandoned)
         assert ends.pop() == (1, Outcome.OK, 1.0)
-        # nothing added and may have been added are told apart
+        # "not added" and "may have been added" are different outcomes
         stub.handler = saying(b"-BUSY\r\n")
         calls.call(3, 1.0, 10**9)
         await until(lambda: len(ends) == 3)
@@ -431,7 +438,7 @@
     run(scenario)
 
 
-def test_a_connection_to_a_counter_that_went_silent_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_connection_to_the_counter_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(counter, "MAX_STALL_S", 0.0)
         stub = await Stub(never).start()
@@ -454,7 +461,7 @@
     run(scenario)
 
 
-def test_a_drain_is_passed_on_and_a_change_is_no_whole_list() -> None:
+def test_drain_is_applied_and_a_delta_does_not_replace_the_list() -> None:
     async def scenario() -> None:
         async with World(serve, serve) as world:
             client = await (await world.start()).client()
@@ -480,39 +487,40 @@
     run(scenario)
 
 
-def test_an_attempt_whose_connection_is_not_up_ends_with_its_servers_drain() -> None:
-    # Guards against a connection that comes up late carrying a new request to a draining server.
+def test_attempt_that_is_still_connecting_ends_when_its_server_drains() -> None:
+    """A connection that opens late would otherwise carry a new request to a draining server."""
+
     async def scenario() -> None:
         async with World(serve, serve) as world:
             await world.start()
             assert world.node
             client = await world.client()
             servers, limiter = world.node.servers, world.node
-            gate = asyncio.Event()
-            open_link = servers.open
+            may_open = asyncio.Event()
+            open_connection = servers.open
 
             async def slow_open(attempt: Attempt, address: tuple[str, int]) -> None:
-                await gate.wait()
-                await open_link(attempt, address)
+                await may_open.wait()
+                await open_connection(attempt, address)
 
             servers.open = slow_open  # type: ignore[method-assign]
             client.send(*submit())
             await until(lambda: servers.opening)
             (attempt,) = servers.opening
-            drained = world.stubs[int(attempt.server[2:])]
+            draining_stub = world.stubs[int(attempt.server[2:])]
             limiter.apply_server_list(*discovery.read_list(
                 {"generation": 2, "reset": False,
-                 "instances": [instance(attempt.server.decode(), drained.port, "DRAINING")]},
+                 "instances": [instance(attempt.server.decode(), draining_stub.port, "DRAINING")]},
                 limiter.config.names, discovery.ListKind.FULL)[1:])  # fmt: skip
-            gate.set()
+            may_open.set()
             assert await client.answer() == b"value"
-            assert not drained.commands
+            assert not draining_stub.commands
 
     run(scenario)
 
 
 @pytest.mark.parametrize("line", [b"{\n", b"[]", b'{"generation":2,"reset":false}', b"\xff\xfe"])
-def test_garbage_from_discovery_ends_the_watch_and_asks_for_the_whole_list(line: bytes) -> None:
+def test_invalid_discovery_data_restarts_the_watch_with_the_full_list(line: bytes) -> None:
     async def scenario() -> None:
         async with World(serve) as world:
             client = await (await world.start()).client()
@@ -525,12 +533,12 @@
     run(scenario)
 
 
-def test_a_watch_that_ends_or_falls_silent_is_opened_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_watch_that_ends_or_falls_silent_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with World(serve) as world:
             monkeypatch.setattr(discovery, "SILENCE_S", 0.05)
             await world.start()
-            await until(lambda: len(world.discovery.watches) >= 2)  # the first said nothing
+            await until(lambda: len(world.discovery.watches) >= 2)  # the first was silent
             monkeypatch.setattr(discovery, "SILENCE_S", 60.0)
             count = len(world.discovery.watches)
             world.discovery.watches[-1].close()
@@ -539,30 +547,30 @@
     run(scenario)
 
 
-def test_a_client_that_does_not_read_is_not_read_either() -> None:
+def test_client_that_does_not_read_its_replies_is_not_read() -> None:
     async def scenario() -> None:
         async with World(saying(b"*3\r\n$60000\r\n" + b"v" * 60000 + b"\r\n$-1\r\n$-1\r\n")) as world:
             client = await (await world.start()).client()
             transport = client.writer.transport
             transport.pause_reading()  # type: ignore[attr-defined]
             assert world.node
-            asked = 0
+            query_count = 0
 
             def settled() -> bool:
                 connection = connection_of(world)
                 return connection.reading_paused or (
-                    len(sent(world)) == asked and not connection.pending_replies
+                    len(commands_sent(world)) == query_count and not connection.pending_replies
                 )
 
             await until(lambda: world.node and world.node.clients.connections)
             while not connection_of(world).reading_paused:
-                client.send(*query(asked))
-                asked += 1
+                client.send(*query(query_count))
+                query_count += 1
                 await until(settled)
-            assert asked > 1 and connection_of(world).transport.get_write_buffer_size() < 4 << 20
-            client.send(*query(asked))
+            assert query_count > 1 and connection_of(world).transport.get_write_buffer_size() < 4 << 20
+            client.send(*query(query_count))
             transport.resume_reading()  # type: ignore[attr-defined]
-            assert {len(await client.answer()) for _ in range(asked + 1)} == {60000}
+            assert {len(await client.answer()) for _ in range(query_count + 1)} == {60000}
 
     run(scenario)
 
@@ -573,7 +581,7 @@
     return connection
 
 
-def test_descriptors_are_bounded() -> None:
+def test_connections_stay_within_the_limits_on_descriptors() -> None:
     async def scenario() -> None:
         async with World(serve, serve) as world:
             await world.start()
@@ -587,7 +595,7 @@
             with pytest.raises(EOFError):
                 await first[0].answer()
             await until(lambda: world.node and len(world.node.clients.connections) == 4)
-            # the one idle connection to a server makes room for one to another
+            # the only idle server connection is closed to make room for one to another server
             servers = world.node.servers
             (old,) = servers.links
             servers.most = 1
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A small world on loopback sockets: a limiter in the test's own loop, among the kit's scripted peers."""
+"""Test fixture on loopback sockets: a limiter and the scripted servers, counter and discovery it talks to."""
 
 from __future__ import annotations
 
@@ -81,14 +81,16 @@
 
 
 class World:
-    """Everything that a limiter talks to; ``node`` runs in the test's own loop."""
+    """A limiter and everything it talks to; one scripted server for each handler.
+
+    ``start`` runs the limiter in the test's own loop, as ``node``; ``spawn`` runs it as a process."""
 
     def __init__(self, *handlers: Handler, count: Handler | None = None, **plan: float) -> None:
         self.stubs = [Stub(handler) for handler in handlers]
         self.counter, self.plan = Stub(count or saying(b"$1\r\n1\r\n")), plan
         self.discovery = Discovery()
         self.options: Options | None = None
-        self.known = True  # whether the configuration lists the servers
+        self.known = True  # whether the configuration's "known" list names the servers
         self.node: Node | None = None
         self.process: asyncio.subprocess.Process | None = None
         self.log = b""
@@ -100,7 +102,7 @@
         return self
 
     def configuration(self) -> dict[str, Any]:
-        listed = [instance(f"s-{n}", stub.port) for n, stub in enumerate(self.stubs) if self.known]
+        instances = [instance(f"s-{n}", stub.port) for n, stub in enumerate(self.stubs) if self.known]
         return {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -108,7 +110,7 @@
             "counter": f"127.0.0.1:{self.counter.port}",
             "seed": "8c1f30d27a5be964",
             "limits": {"memory_mb": 192, "sockets": 1024},
-            "known": json.loads(list_update(1, *listed, full=True)),
+            "known": json.loads(list_update(1, *instances, full=True)),
             "settings": settings(**self.plan),
         }
 
@@ -131,7 +133,7 @@
         )  # fmt: skip
         assert self.process.stderr
         while b" serves on " not in (line := await soon(self.process.stderr.readline())):
-            assert line, "the limiter ended before it served"
+            assert line, "the limiter exited before it served"
         self.port = int(line.rsplit(b":", 1)[1])
         return self
 
@@ -154,10 +156,15 @@
             writer.transport.abort()
 
 
-def query(n: int = 1, wait_ms: int = 3000, customer: int = 7, more: bytes = b"") -> tuple[bytes, ...]:
-    fields = b"c=lookup,t=team,d=%d,units=1,spread=1,first=0%s" % (wait_ms, more)
-    return (b"SVC.QUERY", b"%016x" % customer, b"%016x" % n, fields)
+def query(number: int = 1, wait_ms: int = 3000, customer: int = 7, extra: bytes = b"") -> tuple[bytes, ...]:
+    fields = b"c=lookup,t=team,d=%d,units=1,spread=1,first=0%s" % (wait_ms, extra)
+    return (b"SVC.QUERY", b"%016x" % customer, b"%016x" % number, fields)
 
 
-def submit(n: int = 1, wait_ms: int = 3000, body: bytes = b"body") -> tuple[bytes, ...]:
-    return (b"SVC.SUBMIT", *query(n, wait_ms)[1:3], query(n, wait_ms)[3].replace(b"lookup", b"order"), body)
+def submit(number: int = 1, wait_ms: int = 3000, body: bytes = b"body") -> tuple[bytes, ...]:
+    return (
+        b"SVC.SUBMIT",
+        *query(number, wait_ms)[1:3],
+        query(number, wait_ms)[3].replace(b"lookup", b"order"),
+        body,
+    )
