--- a/hookport/counter.py
+++ b/hookport/counter.py
@@ -32,12 +32,12 @@
 
 
 class Call:
-    """One call, identified by ``number`` among the calls of this limiter."""
+    """One call, identified by ``call_id`` among the calls of this limiter."""
 
-    __slots__ = ("name", "number", "sent_s", "timer", "payload")
+    __slots__ = ("key", "call_id", "sent_s", "timer", "payload")
 
-    def __init__(self, name: int, number: int, payload: bytes, sent_s: float) -> None:
-        self.name, self.number, self.payload, self.sent_s = name, number, payload, sent_s
+    def __init__(self, key: int, call_id: int, payload: bytes, sent_s: float) -> None:
+        self.key, self.call_id, self.payload, self.sent_s = key, call_id, payload, sent_s
         self.timer: asyncio.TimerHandle | None = None  # None once the call has ended
 
 
@@ -110,13 +110,13 @@
         self.queued: deque[Call] = deque()  # calls that wait for a connection
         self.min_stall_s = self.stall_s = min(MAX_STALL_S, STALL_TIMEOUTS * timeout_s)
 
-    def call(self, name: int, amount: float, lifetime_ns: int, number: int = 0) -> None:
-        """Add ``amount`` to the count ``name``, which expires ``lifetime_ns`` after its first call."""
+    def call(self, key: int, amount: float, lifetime_ns: int, call_id: int = 0) -> None:
+        """Add ``amount`` to the count ``key``, which expires ``lifetime_ns`` after its first call."""
         lifetime_ms = max(1, -(-lifetime_ns // 1_000_000))
         payload = resp.encode_command(
-            (b"INCRTTL", b"%d" % name, f"{amount:.9f}".encode(), b"%d" % lifetime_ms)
+            (b"INCRTTL", b"%d" % key, f"{amount:.9f}".encode(), b"%d" % lifetime_ms)
         )
-        call = Call(name, number, payload, self.loop.time())
+        call = Call(key, call_id, payload, self.loop.time())
         call.timer = self.loop.call_later(self.timeout_s, self.time_out, call)
         self.check_stall()
         connection = self.connection
@@ -153,7 +153,7 @@
         them.
 
         If they were waited for, a call at the new address could be answered before an earlier call of the
-        same name at the old one."""
+        same key at the old one."""
         if address == self.address:
             return
         log.info("address changed from %s:%d to %s:%d", *self.address, *address)
--- a/hookport/node.py
+++ b/hookport/node.py
@@ -1,4 +1,4 @@
-"""The loop: facts in, ``Limiter.handle``, actions out; timers and the table of open requests."""
+"""The daemon's core: passes events to ``Limiter.handle``, performs its actions, tracks the open requests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from hookport.config import Address, Config
 from hookport.counter import Call, Counter
 from hookport.discovery import Discovery
-from hookport.servers import Attempt, Servers, unread
+from hookport.servers import Attempt, Servers, has_unread_data
 
 if TYPE_CHECKING:
     from hookport.limits import Front
@@ -25,30 +25,44 @@
 
 log = logging.getLogger("hookport.node")
 
-MS = 1_000_000
-SECOND = 1_000_000_000
-MARGIN_MS = 25  # before a client's time runs out: enough for its last answer to be written and arrive
-CLIENTS_PART = 0.62  # of the descriptors: they hold a third in use, and as many may come for nothing
-SPARE_SOCKETS = 32  # for the loop, discovery, the counter and what is just closing
-KILL_AFTER_NS = 3 * SECOND  # after SIGTERM, or the longest deadline if that is shorter, SIGKILL may come
-KILL_GRACE_S = 0.4  # of the 0.7 s more that are granted then: the rest is for the answers to arrive
-BODY_PART = 0.25  # of the memory at most for the bodies of open requests
+NS_PER_MS = 1_000_000
+NS_PER_SECOND = 1_000_000_000
+# A request ends this long before its client stops waiting: enough for the reply to be written and to arrive.
+REPLY_MARGIN_MS = 25
+# Share of the descriptors for client connections: clients use a third of them, and as many more connections
+# may be opened without a request.
+CLIENT_CONNECTION_SHARE = 0.62
+RESERVED_SOCKETS = 32  # for the loop, discovery, the counter and sockets that are being closed
+# SIGKILL may follow SIGTERM after this time, or after the longest deadline if that is shorter, plus 0.7 s.
+KILL_AFTER_NS = 3 * NS_PER_SECOND
+KILL_GRACE_S = 0.4  # the part of those 0.7 s that is used; the rest is for the replies to arrive
+MAX_BODY_SHARE = 0.25  # of the memory limit, for the arguments of open requests
+
+
+class OpenRequest:
+    """A client's request that has not been answered yet."""
+
+    __slots__ = (
+        "pending_reply",
+        "attempt_count",
+        "command",
+        "deadline_timer",
+        "deadline_ns",
+        "request_id",
+        "size_bytes",
+    )
 
-
-class Open:
-    """A request that is owed an answer."""
-
-    __slots__ = ("pending_reply", "attempts", "command", "deadline_timer", "ends_ns", "request_id", "size")
-
-    def __init__(self, request_id: int, command: resp.Command, answer: PendingReply, ends_ns: int) -> None:
-        self.request_id, self.command, self.pending_reply = request_id, command, answer
-        self.ends_ns, self.attempts = ends_ns, 0
-        self.size = sum(map(len, command.arguments))
+    def __init__(
+        self, request_id: int, command: resp.Command, pending_reply: PendingReply, deadline_ns: int
+    ) -> None:
+        self.request_id, self.command, self.pending_reply = request_id, command, pending_reply
+        self.deadline_ns, self.attempt_count = deadline_ns, 0
+        self.size_bytes = sum(map(len, command.arguments))
         self.deadline_timer: asyncio.TimerHandle | None = None
 
 
 class Node:
-    """Joins the module to the sockets; it decides nothing."""
+    """Connects the limiter, which takes all decisions, to sockets and timers."""
 
     def __init__(
         self,
@@ -56,53 +70,75 @@
         loop: asyncio.AbstractEventLoop,
         clock_ns: Callable[[], int] = time.monotonic_ns,
         unix_ns: Callable[[], int] = time.time_ns,
-        unread: Callable[[asyncio.Transport], bool] = unread,
+        has_unread_data: Callable[[asyncio.Transport], bool] = has_unread_data,
     ) -> None:
-        """``clock_ns`` never goes back, ``unix_ns`` is read once; ``unread`` tells whether a connection that
-        rests has something to read.  All three and the loop are handed in: a test may bring its own."""
+        """``clock_ns`` must be monotonic; ``unix_ns`` is read once; ``has_unread_data`` tells whether an idle
+        server connection has data to read. All three and the loop can be replaced, as in a simulation."""
         settings = config.settings
         self.config, self.settings, self.loop = config, settings, loop
-        # The limiters name counts by the clock and servers' starts are Unix times: Unix time, but steady.
+        # Counter keys and the servers' start times are based on Unix time, which must not jump: a monotonic
+        # clock with a fixed offset.
         self.monotonic_ns = clock_ns
-        self.clock_ns = unix_ns() - clock_ns()
-        self.longest_ns = max((kind.deadline_ns for kind in settings.classes), default=0)
+        self.unix_offset_ns = unix_ns() - clock_ns()
+        self.max_deadline_ns = max(
+            (traffic_class.deadline_ns for traffic_class in settings.classes), default=0
+        )
         self.limiter = Limiter(settings, config.seed)
-        self.grammar = resp.RequestParser(config.names, settings)
+        self.request_parser = resp.RequestParser(config.names, settings)
         self.events: deque[api.Event] = deque()
-        self.busy = False
-        self.stopping: asyncio.TimerHandle | None = None
-        self.open_requests: dict[int, Open] = {}
+        self.processing_events = False
+        self.stop_timer: asyncio.TimerHandle | None = None
+        self.open_requests: dict[int, OpenRequest] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}
-        self.next_id, self.held_bytes = 0, 0
-        self.ids: tuple[set[bytes], set[bytes]] = (set(), set())  # of clients: newer and older
-        self.ids_since_ns = 0
-        most = max(16, config.max_sockets - SPARE_SOCKETS)
-        connect_s = (settings.connect_timeout_ns or SECOND) / SECOND
-        self.clients = Clients(loop, self.handle_request, round(most * CLIENTS_PART))
-        for_servers = most - self.clients.max_connections
-        idle_s = config.server_idle_timeout_ns / SECOND
-        self.servers = Servers(loop, self.attempt_ended, connect_s, idle_s, for_servers, unread)
-        self.members = self.believe() if config.options and config.options.membership else None
-        follow, members = not settings.subscribe, self.members
-        told = members.receive_list if members else self.apply_server_list
-        more = (members.watch_active, members.jittered_wait_s) if members else ()
-        self.discovery = Discovery(loop, config.discovery, config.names, told, connect_s, follow, *more)
+        self.last_request_id, self.open_request_bytes = 0, 0
+        self.client_ids: tuple[set[bytes], set[bytes]] = (set(), set())  # recent ids: newer, older
+        self.client_ids_since_ns = 0
+        max_connections = max(16, config.max_sockets - RESERVED_SOCKETS)
+        connect_timeout_s = (settings.connect_timeout_ns or NS_PER_SECOND) / NS_PER_SECOND
+        self.clients = Clients(loop, self.handle_request, round(max_connections * CLIENT_CONNECTION_SHARE))
+        max_server_connections = max_connections - self.clients.max_connections
+        server_idle_timeout_s = config.server_idle_timeout_ns / NS_PER_SECOND
+        self.servers = Servers(
+            loop,
+            self.attempt_ended,
+            connect_timeout_s,
+            server_idle_timeout_s,
+            max_server_connections,
+            has_unread_data,
+        )
+        self.members = self.create_membership() if config.options and config.options.membership else None
+        resubscribe, members = not settings.subscribe, self.members
+        on_list = members.receive_list if members else self.apply_server_list
+        membership_callbacks = (members.watch_active, members.jittered_wait_s) if members else ()
+        self.discovery = Discovery(
+            loop,
+            config.discovery,
+            config.names,
+            on_list,
+            connect_timeout_s,
+            resubscribe,
+            *membership_callbacks,
+        )
         if members:
             members.discovery = self.discovery
         self.counter: Counter | None = None
         if config.counter:
-            wait_s = settings.counter_timeout_ns / SECOND
-            self.counter = Counter(loop, config.counter, wait_s, connect_s, self.counted)
+            counter_timeout_s = settings.counter_timeout_ns / NS_PER_SECOND
+            self.counter = Counter(
+                loop, config.counter, counter_timeout_s, connect_timeout_s, self.counter_call_ended
+            )
         self.peers: Peers | None = None
         if config.peer_listen:
-            from hookport.peers import Peers  # only here: without peers it costs nothing
+            from hookport.peers import Peers  # imported only if peers are configured
 
             self.peers = Peers(
                 loop, config.peers, config.peers_all, settings.index, self.peer_message_received
             )
-        self.limit_commands = self.take_asks() if config.options and config.options.limits else None
+        self.limit_commands = (
+            self.create_limit_commands() if config.options and config.options.limits else None
+        )
         self.clients.limit_commands = self.limit_commands
-        self.doers: dict[type, Callable[[Any], None]] = {
+        self.action_handlers: dict[type, Callable[[Any], None]] = {
             api.Send: self.send,
             api.Refuse: self.refuse,
             api.QuotaAnswer: self.verdict,
@@ -115,18 +151,20 @@
             api.Log: lambda action: log.info("%s", action.text),
         }
 
-    def take_asks(self) -> Front:
-        """Limit commands, where the options switch them on."""
+    def create_limit_commands(self) -> Front:
+        """Create the handler of the limit commands, which the options must enable."""
         from hookport import __version__
-        from hookport.limits import Front, Users  # only here: off, it costs nothing
+        from hookport.limits import Front, Users  # imported only if enabled
 
         assert self.config.options and self.config.options.limits
         options = self.config.options.limits
-        return Front(self.loop, options, self.grammar, self.settings, self, __version__, Users(options.users))
+        return Front(
+            self.loop, options, self.request_parser, self.settings, self, __version__, Users(options.users)
+        )
 
-    def believe(self) -> MembershipManager:
-        """What stands between discovery and the module, where the options switch it on."""
-        from hookport.membership import MembershipManager  # only here: off, it costs nothing
+    def create_membership(self) -> MembershipManager:
+        """Create the manager that checks the server list between discovery and the limiter."""
+        from hookport.membership import MembershipManager  # imported only if enabled
 
         config, settings = self.config, self.settings
         assert config.options and config.options.membership
@@ -146,8 +184,8 @@
         log.info("%s serves on %s:%d", self.config.name, host, port)
 
     def close(self) -> None:
-        if self.stopping:
-            self.stopping.cancel()
+        if self.stop_timer:
+            self.stop_timer.cancel()
         self.clients.close()
         self.discovery.close()
         if self.members:
@@ -159,102 +197,107 @@
             self.peers.close()
 
     def report(self) -> None:
-        """SIGUSR1: the state of the counter, since when, and the bound on the overrun, in the log."""
+        """Log the counter's state with the bound on quota overrun, and the trust in servers (on SIGUSR1)."""
         log.info("%s", self.limiter.report().to_log_line())
         if self.members:
             log.info("%s", self.members.status_line())
 
     def reconfigure(self, config: Config) -> None:
-        """SIGHUP: go on with what is held, under new addresses; all else holds from start to exit."""
+        """Apply the new addresses of discovery and the counter (on SIGHUP); open requests continue.
+
+        Everything else takes effect only at a restart."""
         if self.members and config.discovery != self.discovery.place:
             self.members.change_discovery("{}:{}".format(*config.discovery))
         self.discovery.move(config.discovery)
         if self.counter and config.counter:
             self.counter.change_address(config.counter)
         if config.settings != self.settings or config.listen != self.config.listen:
-            log.warning("of a new configuration only discovery and counter count before a restart")
+            log.warning("only the addresses of discovery and the counter change without a restart")
 
     def shut_down(self) -> None:
-        """SIGTERM: take what still comes, and answer all before the process may be killed."""
-        if self.stopping is None:
-            wait_s = min(self.longest_ns, KILL_AFTER_NS) / SECOND + KILL_GRACE_S
-            self.stopping = self.loop.call_later(wait_s, self.answer_all)
+        """Stop on SIGTERM: serve late connections, and answer all requests before a SIGKILL may follow."""
+        if self.stop_timer is None:
+            wait_s = min(self.max_deadline_ns, KILL_AFTER_NS) / NS_PER_SECOND + KILL_GRACE_S
+            self.stop_timer = self.loop.call_later(wait_s, self.answer_all)
             if self.members:
                 self.members.save()
             self.clients.shut_down()
 
     def answer_all(self) -> None:
-        """Guards against requests whose clients would wait longer than this process is let live."""
+        """Answer all open requests, including those whose deadline lies behind the possible SIGKILL."""
         for request_id in list(self.open_requests):
             if request_id in self.open_requests:
-                self.overdue(request_id)
+                self.request_expired(request_id)
         if self.limit_commands:
             self.limit_commands.answer_all()
 
     def now_ns(self) -> int:
-        return self.monotonic_ns() + self.clock_ns
+        return self.monotonic_ns() + self.unix_offset_ns
 
     def feed(self, event: api.Event) -> None:
-        """Hand an event to the module and do what it says; what that brings about waits its turn."""
+        """Pass an event to the limiter and perform the actions; events that they cause are queued."""
         self.events.append(event)
-        if self.busy:
+        if self.processing_events:
             return
-        self.busy = True
+        self.processing_events = True
         try:
             while self.events:
                 event = self.events.popleft()
                 try:
                     for action in self.limiter.handle(self.now_ns(), event):
-                        self.doers[type(action)](action)
+                        self.action_handlers[type(action)](action)
                 except Exception:
-                    # Guards against one event taking all others down: told in full, and the request fails.
-                    log.exception("the module failed on %s", type(event).__name__)
+                    # A fault in one event must not stop the others: log it and fail its request.
+                    log.exception("the limiter failed on %s", type(event).__name__)
                     request_id = getattr(event, "request_id", None)
                     if request_id in self.open_requests:
                         self.answer(request_id, resp.error("internal error"))
-                        self.events.append(api.HungUp(request_id))  # the module may hold it yet
+                        self.events.append(api.HungUp(request_id))  # the limiter may still track it
         finally:
-            self.busy = False
+            self.processing_events = False
 
     # From clients
 
-    def handle_request(self, words: Sequence[object], answer: PendingReply) -> None:
-        command = self.grammar.parse(words)
-        self.once(command.request_id)
+    def handle_request(self, arguments: Sequence[object], pending_reply: PendingReply) -> None:
+        command = self.request_parser.parse(arguments)
+        self.register_client_id(command.request_id)
         fields = command.fields
-        full = self.held_bytes > BODY_PART * self.config.memory_limit_bytes
-        if full or len(self.open_requests) >= (self.settings.max_pending or 20_000):
-            return answer.complete(resp.busy(self.settings.max_retry_after_ns))
+        memory_full = self.open_request_bytes > MAX_BODY_SHARE * self.config.memory_limit_bytes
+        if memory_full or len(self.open_requests) >= (self.settings.max_pending or 20_000):
+            return pending_reply.complete(resp.busy(self.settings.max_retry_after_ns))
         deadline_ns = self.settings.classes[fields.class_index].deadline_ns
-        patience_ns = min(max(1, command.wait_ms - MARGIN_MS) * MS, deadline_ns)
+        timeout_ns = min(max(1, command.wait_ms - REPLY_MARGIN_MS) * NS_PER_MS, deadline_ns)
         request_id = self.new_id()
         now_ns = self.now_ns()
-        request = Open(request_id, command, answer, now_ns + patience_ns)
+        request = OpenRequest(request_id, command, pending_reply, now_ns + timeout_ns)
         self.open_requests[request_id] = request
-        self.held_bytes += request.size
-        request.deadline_timer = self.loop.call_later(patience_ns / SECOND, self.overdue, request_id)
-        answer.on_disconnect = lambda: self.hung_up(request_id)
-        self.feed(command.to_event(request_id, patience_ns))
+        self.open_request_bytes += request.size_bytes
+        request.deadline_timer = self.loop.call_later(
+            timeout_ns / NS_PER_SECOND, self.request_expired, request_id
+        )
+        pending_reply.on_disconnect = lambda: self.client_disconnected(request_id)
+        self.feed(command.to_event(request_id, timeout_ns))
 
     def new_id(self) -> int:
-        self.next_id = (self.next_id + 1) & 0xFFFFFFFF
-        return self.next_id
+        self.last_request_id = (self.last_request_id + 1) & 0xFFFFFFFF
+        return self.last_request_id
 
-    def once(self, client_id: bytes) -> None:
-        """Guards against an effect twice, by an id that is open or was lately: ids are new with each try.
+    def register_client_id(self, client_id: bytes) -> None:
+        """Reject an id that is open or was used recently: its request could be executed twice.
 
-        Two sets take turns: one is kept for the longest deadline at least, so nothing open is forgotten."""
+        Clients use a new id for each try. The ids are kept in two sets that rotate after the longest
+        deadline, so the id of an open request is never dropped."""
         now_ns = self.monotonic_ns()
-        if now_ns - self.ids_since_ns > self.longest_ns:
-            self.ids, self.ids_since_ns = (set(), self.ids[0]), now_ns
-        if client_id in self.ids[0] or client_id in self.ids[1]:
+        if now_ns - self.client_ids_since_ns > self.max_deadline_ns:
+            self.client_ids, self.client_ids_since_ns = (set(), self.client_ids[0]), now_ns
+        if client_id in self.client_ids[0] or client_id in self.client_ids[1]:
             raise resp.CommandError("the id is in use")
-        self.ids[0].add(client_id)
+        self.client_ids[0].add(client_id)
 
-    def remove_request(self, request_id: int) -> Open | None:
+    def remove_request(self, request_id: int) -> OpenRequest | None:
         request = self.open_requests.pop(request_id, None)
         if request:
-            self.held_bytes -= request.size
+            self.open_request_bytes -= request.size_bytes
             if request.deadline_timer:
                 request.deadline_timer.cancel()
         return request
@@ -263,18 +306,18 @@
         if request := self.remove_request(request_id):
             request.pending_reply.complete(reply)
 
-    def hung_up(self, request_id: int) -> None:
+    def client_disconnected(self, request_id: int) -> None:
         if self.remove_request(request_id):
             self.feed(api.HungUp(request_id))
 
-    def overdue(self, request_id: int) -> None:
-        """No more time: attempts end as timed out, and the module has the last word."""
+    def request_expired(self, request_id: int) -> None:
+        """At the deadline, end the attempts as timed out; the limiter then gives the final answer."""
         request = self.open_requests[request_id]
-        for number in range(request.attempts):
+        for number in range(request.attempt_count):
             if attempt := self.attempts.get((request_id, number)):
-                self.servers.give_up(attempt, api.Outcome.TIMEOUT)
+                self.servers.abort_attempt(attempt, api.Outcome.TIMEOUT)
         if request_id in self.open_requests:
-            log.warning("a request was still held at its deadline")
+            log.warning("the limiter left a request unanswered at its deadline")
             self.answer(request_id, resp.error("timed out"))
             self.feed(api.HungUp(request_id))
 
@@ -282,20 +325,22 @@
 
     def send(self, action: api.Send) -> None:
         request = self.open_requests[action.request_id]
-        number, request.attempts = request.attempts, request.attempts + 1
+        number, request.attempt_count = request.attempt_count, request.attempt_count + 1
         now_ns = self.now_ns()
-        until_ns = min(action.deadline_ns or request.ends_ns, request.ends_ns)
-        payload = request.command.forward(max(1, (until_ns - now_ns) // MS))
+        deadline_ns = min(action.deadline_ns or request.deadline_ns, request.deadline_ns)
+        payload = request.command.forward(max(1, (deadline_ns - now_ns) // NS_PER_MS))
         attempt = Attempt(action.request_id, number, action.server, payload, now_ns)
         self.attempts[action.request_id, number] = attempt
-        if until_ns < request.ends_ns:
-            wait_s = (until_ns - now_ns) / SECOND
-            attempt.until = self.loop.call_later(wait_s, self.servers.give_up, attempt, api.Outcome.TIMEOUT)
+        if deadline_ns < request.deadline_ns:
+            wait_s = (deadline_ns - now_ns) / NS_PER_SECOND
+            attempt.deadline_timer = self.loop.call_later(
+                wait_s, self.servers.abort_attempt, attempt, api.Outcome.TIMEOUT
+            )
         self.servers.send(attempt)
 
     def cancel(self, action: api.Cancel) -> None:
         if attempt := self.attempts.get((action.request_id, action.attempt)):
-            self.servers.give_up(attempt, api.Outcome.CANCELLED)
+            self.servers.abort_attempt(attempt, api.Outcome.CANCELLED)
 
     def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, value: bytes) -> None:
         request_id = attempt.request_id
@@ -318,7 +363,7 @@
         if self.members:
             self.members.record_outcome(attempt.server, outcome)
 
-    # Other actions and facts
+    # Other actions and events
 
     def refuse(self, action: api.Refuse) -> None:
         if self.limit_commands and self.limit_commands.refused(action.request_id, action.retry_after_ns):
@@ -333,8 +378,8 @@
         self.answer(action.request_id, resp.error("failed"))
 
     def set_timer(self, action: api.SetTimer) -> None:
-        # The loop's timers are in whole milliseconds: rounded up, none fires before its time.
-        wait_s = -(-action.delay_ns // MS) / 1000
+        # The loop's timers have millisecond resolution; rounding up keeps them from firing early.
+        wait_s = -(-action.delay_ns // NS_PER_MS) / 1000
         self.loop.call_later(wait_s, self.feed, api.TimerFired(action.token))
 
     def count(self, action: api.Count) -> None:
@@ -342,9 +387,9 @@
             return self.feed(api.Counted(action.key, api.Outcome.CONNECT_FAILED, 0.0, 0, action.call_id))
         self.counter.call(action.key, action.amount, action.lifetime_ns, action.call_id)
 
-    def counted(self, call: Call, outcome: api.Outcome, total: float) -> None:
-        elapsed_ns = int((self.loop.time() - call.sent_s) * SECOND)
-        self.feed(api.Counted(call.name, outcome, total, elapsed_ns, call.number))
+    def counter_call_ended(self, call: Call, outcome: api.Outcome, total: float) -> None:
+        elapsed_ns = int((self.loop.time() - call.sent_s) * NS_PER_SECOND)
+        self.feed(api.Counted(call.key, outcome, total, elapsed_ns, call.call_id))
 
     def tell(self, action: api.Tell) -> None:
         self.send_to_peers(action.peer, action.payload)
@@ -353,23 +398,23 @@
         if self.peers:
             self.peers.send(peer, payload)
 
-    def probe(self, server: bytes, ended: Callable[[bool], None]) -> None:
-        self.servers.probe(server, ended)
+    def probe(self, server: bytes, on_result: Callable[[bool], None]) -> None:
+        self.servers.probe(server, on_result)
 
     def peer_message_received(self, sender: int, payload: bytes) -> None:
-        if self.members and payload.startswith(b"F"):
+        if self.members and payload.startswith(b"F"):  # a message of the membership manager
             return self.members.receive_message(payload)
         self.feed(api.PeerMessage(sender, payload))
 
-    def apply_server_list(self, told: api.ServerList, places: dict[bytes, Address]) -> None:
-        if told.kind in (api.ListKind.FULL, api.ListKind.CACHED):
-            for server in [s for s in self.servers.places if s not in places]:
+    def apply_server_list(self, server_list: api.ServerList, addresses: dict[bytes, Address]) -> None:
+        if server_list.kind in (api.ListKind.FULL, api.ListKind.CACHED):
+            for server in [s for s in self.servers.endpoints if s not in addresses]:
                 self.servers.remove_server(server)
-        for entry in told.entries:
+        for entry in server_list.entries:
             if entry.health is not api.Health.GONE:
-                self.servers.learn(entry.server, places[entry.server], entry.started_ns)
-        self.feed(told)
-        for entry in told.entries:
+                self.servers.update_server(entry.server, addresses[entry.server], entry.started_ns)
+        self.feed(server_list)
+        for entry in server_list.entries:
             if entry.health is api.Health.GONE:
                 self.servers.remove_server(entry.server)
             elif entry.health is api.Health.DRAINING:
--- a/hookport/resp.py
+++ b/hookport/resp.py
@@ -168,7 +168,7 @@
     def request_id(self) -> bytes:
         return self.arguments[2]
 
-    def to_event(self, request_id: int, patience_ns: int, ask: RequestMode = RequestMode.FORWARD) -> Request:
+    def to_event(self, request_id: int, timeout_ns: int, mode: RequestMode = RequestMode.FORWARD) -> Request:
         """The Request event for the limiter; ``request_id`` is the daemon's number, not the client's id."""
         fields = self.fields
         return Request(
@@ -176,12 +176,12 @@
             traffic_class=fields.class_index,
             plan=fields.plan,
             customer=self.customer,
-            timeout_ns=patience_ns,
+            timeout_ns=timeout_ns,
             units=fields.units,
             set_size=fields.spread,
             set_start=fields.first,
             is_retry=fields.repeated,
-            mode=ask,
+            mode=mode,
         )
 
     def forward(self, wait_ms: int) -> bytes:
--- a/hookport/servers.py
+++ b/hookport/servers.py
@@ -1,4 +1,4 @@
-"""Servers: their addresses, warm connections, attempts and how those ended."""
+"""Connections to the servers: a pool of idle connections, attempts and their outcomes, probes."""
 
 from __future__ import annotations
 
@@ -13,52 +13,57 @@
 from hookport import resp
 from hookport.config import Address
 
-Place = tuple[Address, int]  # where a server is, and since when it runs there
+Endpoint = tuple[Address, int]  # a server's address and start time; a restarted server is another endpoint
 
 log = logging.getLogger("hookport.servers")
 
-IDLE_PART = 0.5  # of the time for which a server keeps an idle connection: ours are closed well before
-REST_S = 0.005  # after an answer, for what may come behind it, before its connection is used again
-STALL_S = 0.25  # for more of an answer that has begun
-ELEMENTS = 3  # of an answer: the value, figures on use, a load report
-POLL = select.poll()  # one thread, one socket at a time
-REPORT = re.compile(rb"(|[a-z_]+=[0-9.eE+-]+(,[a-z_]+=[0-9.eE+-]+)*)").fullmatch
+# Share of the servers' own idle time-out after which an idle connection is closed, well before the server
+# closes it.
+IDLE_TIMEOUT_SHARE = 0.5
+REUSE_DELAY_S = 0.005  # after an answer, before the connection is reused: surplus bytes may still arrive
+STALL_TIMEOUT_S = 0.25  # the longest pause within an answer
+ANSWER_ELEMENTS = 3  # the value, usage figures, and a load report
+POLLER = select.poll()  # shared: there is one thread, and one socket is registered at a time
+LOAD_REPORT = re.compile(rb"(|[a-z_]+=[0-9.eE+-]+(,[a-z_]+=[0-9.eE+-]+)*)").fullmatch
 
 
 class Attempt:
-    """One command on its way to a server; ``link`` is None until it has a connection."""
+    """One command on its way to a server; ``connection`` is None until it has one."""
 
-    __slots__ = ("link", "number", "opening", "payload", "request_id", "sent_ns", "server", "until")
+    __slots__ = (
+        "connection", "number", "connect_task", "payload", "request_id", "sent_ns", "server",
+        "deadline_timer",
+    )  # fmt: skip
 
     def __init__(self, request_id: int, number: int, server: bytes, payload: bytes, sent_ns: int) -> None:
         self.request_id, self.number, self.server = request_id, number, server
         self.payload, self.sent_ns = payload, sent_ns
-        self.link: Link | None = None
-        self.opening: asyncio.Task[None] | None = None
-        self.until: asyncio.TimerHandle | None = None
+        self.connection: ServerConnection | None = None
+        self.connect_task: asyncio.Task[None] | None = None
+        self.deadline_timer: asyncio.TimerHandle | None = None
 
 
-class Link(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """A connection to a server; it carries one attempt at a time."""
 
-    def __init__(self, servers: Servers, server: bytes, place: Place) -> None:
-        self.servers, self.server, self.place = servers, server, place
+    def __init__(self, pool: Servers, server: bytes, endpoint: Endpoint) -> None:
+        self.pool, self.server, self.endpoint = pool, server, endpoint
         self.attempt: Attempt | None = None
-        self.reader = resp.Reader(ELEMENTS, resp.MAX_SERVER_VALUE_BYTES)
-        self.stall: asyncio.TimerHandle | None = None
-        self.heard_s = 0.0  # when a part of an answer came last
-        self.written = False  # whether the attempt's last byte has gone to the network
-        self.idle_s = 0.0  # since when it is idle
+        self.reader = resp.Reader(ANSWER_ELEMENTS, resp.MAX_SERVER_VALUE_BYTES)
+        self.stall_timer: asyncio.TimerHandle | None = None
+        self.last_data_s = 0.0  # when the latest part of an incomplete answer arrived
+        self.written = False  # whether the attempt's last byte was handed to the operating system
+        self.idle_since_s = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        # With a limit of zero a write goes out at once, and what could not go out is told by pause_writing.
+        # With a limit of 0, write() sends at once, and pause_writing is called if anything is left over.
         self.transport.set_write_buffer_limits(high=0)
 
     def start(self, attempt: Attempt) -> None:
-        self.attempt, attempt.link = attempt, self
+        self.attempt, attempt.connection = attempt, self
         self.transport.write(attempt.payload)
-        # Guards against taking a buffered or failed write for a sent one: such an attempt never ran.
+        # An attempt whose write failed or is still buffered has never been executed.
         self.written = not self.transport.is_closing() and self.transport.get_write_buffer_size() == 0
 
     def resume_writing(self) -> None:
@@ -66,171 +71,189 @@
 
     def data_received(self, data: bytes) -> None:
         if self.attempt is None:
-            log.warning("%s sent %d bytes unasked", self.server.decode(), len(data))
+            log.warning("%s sent %d unexpected bytes", self.server.decode(), len(data))
             return self.transport.abort()
         try:
             self.reader.feed(data)
-            if (reply := self.reader.gets()) is False:
-                self.heard_s = self.servers.loop.time()
-                if self.stall is None:
-                    self.stall = self.servers.loop.call_later(STALL_S, self.stalled)
+            if (message := self.reader.gets()) is False:
+                self.last_data_s = self.pool.loop.time()
+                if self.stall_timer is None:
+                    self.stall_timer = self.pool.loop.call_later(STALL_TIMEOUT_S, self.check_stall)
                 return
-            outcome, value = read(reply)
+            outcome, value = parse_answer(message)
         except resp.StreamError as error:
-            return self.garbage(str(error))
+            return self.fail(str(error))
         attempt, self.attempt = self.attempt, None
-        self.calm()
+        self.cancel_stall_timer()
         if self.reader.has_unparsed_data() or not self.written:
-            log.warning("%s sent more than an answer", self.server.decode())
+            log.warning("%s sent data beyond its answer", self.server.decode())
             self.transport.abort()
         else:
-            self.servers.rest(self)
-        self.servers.finish(attempt, outcome, value)
+            self.pool.keep_idle(self)
+        self.pool.end_attempt(attempt, outcome, value)
 
-    def garbage(self, why: str) -> None:
-        """Guards against an answer that cannot be read: the attempt may have run, the connection is lost."""
-        log.warning("%s: %s", self.server.decode(), why)
+    def fail(self, reason: str) -> None:
+        """Abort the connection after an invalid answer; its attempt may have been executed."""
+        log.warning("%s: %s", self.server.decode(), reason)
         self.transport.abort()
 
-    def stalled(self) -> None:
-        """Guards against an answer that stops short holding its request until there is no time left."""
-        wait_s = self.heard_s + STALL_S - self.servers.loop.time()
+    def check_stall(self) -> None:
+        """Fail if an answer has stopped half-way, before its request runs out of time."""
+        wait_s = self.last_data_s + STALL_TIMEOUT_S - self.pool.loop.time()
         if wait_s > 0:
-            self.stall = self.servers.loop.call_later(wait_s, self.stalled)
+            self.stall_timer = self.pool.loop.call_later(wait_s, self.check_stall)
         else:
-            self.garbage("half an answer")
+            self.fail("incomplete answer")
 
-    def calm(self) -> None:
-        if self.stall:
-            self.stall.cancel()
-            self.stall = None
+    def cancel_stall_timer(self) -> None:
+        if self.stall_timer:
+            self.stall_timer.cancel()
+            self.stall_timer = None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.calm()
-        self.servers.lost(self)
+        self.cancel_stall_timer()
+        self.pool.remove_connection(self)
         if attempt := self.attempt:
             self.attempt = None
-            self.servers.finish(attempt, Outcome.RESET if self.written else Outcome.CONNECT_FAILED, b"")
+            self.pool.end_attempt(attempt, Outcome.RESET if self.written else Outcome.CONNECT_FAILED, b"")
 
 
-def read(reply: resp.Message) -> tuple[Outcome, bytes]:
-    """What an answer tells; only one that is just as agreed says that nothing ran."""
-    if isinstance(reply, list) and len(reply) == ELEMENTS and isinstance(reply[0], bytes):
-        return Outcome.OK, reply[0]  # what cannot be read of use and load harms no value
-    if isinstance(reply, resp.SimpleElement) and reply.kind == b"-":
-        word, _, rest = reply.text.partition(b" ")
-        if word == b"BUSY" and REPORT(rest):
+def parse_answer(message: resp.Message) -> tuple[Outcome, bytes]:
+    """Return the outcome and the value of an answer.
+
+    Only a well-formed BUSY error means that the request was not executed. Raises StreamError for an answer
+    of any other form."""
+    if isinstance(message, list) and len(message) == ANSWER_ELEMENTS and isinstance(message[0], bytes):
+        return Outcome.OK, message[0]  # the value is valid even if the usage and the load report are not
+    if isinstance(message, resp.SimpleElement) and message.kind == b"-":
+        code, _, rest = message.text.partition(b" ")
+        if code == b"BUSY" and LOAD_REPORT(rest):
             return Outcome.FULL, b""
-        if word == b"ERR":
+        if code == b"ERR":
             return Outcome.ERROR, b""
-    raise resp.StreamError("an answer of no known form")
+    raise resp.StreamError("an unexpected answer")
 
 
-def unread(transport: asyncio.Transport) -> bool:
-    """Whether a socket has something to read, or its other end has closed."""
-    number = transport.get_extra_info("socket").fileno()
-    POLL.register(number, select.POLLIN)
-    told = POLL.poll(0)
-    POLL.unregister(number)
-    return bool(told)
+def has_unread_data(transport: asyncio.Transport) -> bool:
+    """Whether the socket has data to read, or its peer has closed it."""
+    descriptor = transport.get_extra_info("socket").fileno()
+    POLLER.register(descriptor, select.POLLIN)
+    events = POLLER.poll(0)
+    POLLER.unregister(descriptor)
+    return bool(events)
 
 
 class Servers:
-    """The pool of connections; it reports each attempt's one end."""
+    """The connection pool; it reports the end of each attempt exactly once, to ``on_end``."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        ended: Callable[[Attempt, Outcome, bytes], None],
+        on_end: Callable[[Attempt, Outcome, bytes], None],
         connect_timeout_s: float,
-        idle_s: float,
-        most: int,
-        unread: Callable[[asyncio.Transport], bool],
+        server_idle_timeout_s: float,
+        max_connections: int,
+        has_unread_data: Callable[[asyncio.Transport], bool],
     ) -> None:
-        self.loop, self.ended, self.most, self.unread = loop, ended, most, unread
-        self.connect_timeout_s, self.idle_s = connect_timeout_s, idle_s * IDLE_PART
-        self.places: dict[bytes, Place] = {}
+        self.loop, self.on_end, self.max_connections, self.has_unread_data = (
+            loop,
+            on_end,
+            max_connections,
+            has_unread_data,
+        )
+        self.connect_timeout_s, self.idle_timeout_s = (
+            connect_timeout_s,
+            server_idle_timeout_s * IDLE_TIMEOUT_SHARE,
+        )
+        self.endpoints: dict[bytes, Endpoint] = {}
         self.draining: set[bytes] = set()
-        self.links: dict[Link, None] = {}
-        self.idle: dict[bytes, list[Link]] = {}  # warmest last
-        self.opening: dict[Attempt, None] = {}
-        self.sweeper: asyncio.TimerHandle | None = None
-        self.probes: set[asyncio.Task[bool]] = set()
-
-    def learn(self, server: bytes, address: Address, born_ns: int) -> None:
-        """Guards against a request on a connection to where, or to what, the server was before."""
-        place = address, born_ns
-        if self.places.get(server) != place:
-            self.cool(server)
-        self.places[server] = place
+        self.connections: dict[ServerConnection, None] = {}
+        self.idle: dict[bytes, list[ServerConnection]] = {}  # by server, the most recently used last
+        self.connecting: dict[Attempt, None] = {}
+        self.sweep_timer: asyncio.TimerHandle | None = None
+        self.probe_tasks: set[asyncio.Task[bool]] = set()
+
+    def update_server(self, server: bytes, address: Address, started_ns: int) -> None:
+        """Add a server, or move it to a new endpoint, which closes the idle connections to the old one."""
+        endpoint = address, started_ns
+        if self.endpoints.get(server) != endpoint:
+            self.close_idle(server)
+        self.endpoints[server] = endpoint
         self.draining.discard(server)
 
     def remove_server(self, server: bytes) -> None:
-        self.places.pop(server, None)
+        self.endpoints.pop(server, None)
         self.stop_sending(server)
         self.draining.discard(server)
 
-    def cool(self, server: bytes) -> None:
-        """Close the warm connections."""
-        for link in self.idle.pop(server, ()):
-            link.transport.abort()
+    def close_idle(self, server: bytes) -> None:
+        for connection in self.idle.pop(server, ()):
+            connection.transport.abort()
 
     def stop_sending(self, server: bytes) -> None:
-        """Guards against a late connection carrying a new attempt to a server that drains or is gone."""
+        """Send no more attempts to a draining or removed server, not even on connections that open late."""
         self.draining.add(server)
-        self.cool(server)
-        for attempt in [a for a in self.opening if a.server == server]:
-            self.give_up(attempt, Outcome.CONNECT_FAILED)
+        self.close_idle(server)
+        for attempt in [a for a in self.connecting if a.server == server]:
+            self.abort_attempt(attempt, Outcome.CONNECT_FAILED)
 
     def send(self, attempt: Attempt) -> None:
-        if link := self.warm(attempt.server):
-            return link.start(attempt)
-        place = self.places.get(attempt.server)
-        if place is None or not self.room():
-            return self.finish(attempt, Outcome.CONNECT_FAILED, b"")
-        self.opening[attempt] = None
-        attempt.opening = self.loop.create_task(self.open(attempt, place))
-
-    def warm(self, server: bytes) -> Link | None:
-        """The connection that rested last but has rested for long enough, and said nothing since."""
+        if connection := self.take_idle(attempt.server):
+            return connection.start(attempt)
+        endpoint = self.endpoints.get(attempt.server)
+        if endpoint is None or not self.make_room():
+            return self.end_attempt(attempt, Outcome.CONNECT_FAILED, b"")
+        self.connecting[attempt] = None
+        attempt.connect_task = self.loop.create_task(self.open_connection(attempt, endpoint))
+
+    def take_idle(self, server: bytes) -> ServerConnection | None:
+        """Take the most recently used connection that is past the reuse delay and has no unread data."""
         idle, now_s = self.idle.get(server, []), self.loop.time()
-        for at in range(len(idle) - 1, -1, -1):
-            link = idle[at]
-            if link.idle_s + REST_S > now_s:
+        for index in range(len(idle) - 1, -1, -1):
+            connection = idle[index]
+            if connection.idle_since_s + REUSE_DELAY_S > now_s:
                 continue
-            del idle[at]
-            fresh = link.idle_s + self.idle_s > now_s and not link.transport.is_closing()
-            if fresh and not self.unread(link.transport):
-                return link  # nothing lies behind its answer that the next one would be taken for
-            link.transport.abort()
+            del idle[index]
+            usable = (
+                connection.idle_since_s + self.idle_timeout_s > now_s
+                and not connection.transport.is_closing()
+            )
+            if usable and not self.has_unread_data(connection.transport):
+                return connection  # no bytes are left that would be taken for the next answer
+            connection.transport.abort()
         return None
 
-    def room(self) -> bool:
-        """Guards against running out of descriptors: the longest idle connection makes room."""
-        if len(self.links) + len(self.opening) < self.most:
+    def make_room(self) -> bool:
+        """Whether one more connection may be opened; closes the longest idle one at the limit.
+
+        The limit keeps the process from running out of descriptors."""
+        if len(self.connections) + len(self.connecting) < self.max_connections:
             return True
-        coldest = min((i[0] for i in self.idle.values() if i), key=lambda link: link.idle_s, default=None)
-        if coldest:
-            self.idle[coldest.server].remove(coldest)
-            coldest.transport.abort()
-        return coldest is not None
-
-    def probe(self, server: bytes, ended: Callable[[bool], None]) -> None:
-        """Ask a server for a PONG on a connection of its own; ``ended`` is told once whether it came in
-        time."""
-        place = self.places.get(server)
-        if place is None or not self.room():
-            return ended(False)
-        task = self.loop.create_task(self.look(place[0]))
-        self.probes.add(task)
-
-        def over(task: asyncio.Task[bool]) -> None:
-            self.probes.discard(task)
-            ended(not task.cancelled() and task.result())
-
-        task.add_done_callback(over)
-
-    async def look(self, address: Address) -> bool:
+        oldest = min(
+            (i[0] for i in self.idle.values() if i),
+            key=lambda connection: connection.idle_since_s,
+            default=None,
+        )
+        if oldest:
+            self.idle[oldest.server].remove(oldest)
+            oldest.transport.abort()
+        return oldest is not None
+
+    def probe(self, server: bytes, on_result: Callable[[bool], None]) -> None:
+        """Send a PING on a new connection; ``on_result`` is called once with whether a PONG came in time."""
+        endpoint = self.endpoints.get(server)
+        if endpoint is None or not self.make_room():
+            return on_result(False)
+        task = self.loop.create_task(self.ping(endpoint[0]))
+        self.probe_tasks.add(task)
+
+        def report_result(task: asyncio.Task[bool]) -> None:
+            self.probe_tasks.discard(task)
+            on_result(not task.cancelled() and task.result())
+
+        task.add_done_callback(report_result)
+
+    async def ping(self, address: Address) -> bool:
         try:
             async with asyncio.timeout(self.connect_timeout_s):
                 reader, writer = await asyncio.open_connection(*address)
@@ -242,77 +265,77 @@
         except (OSError, EOFError, TimeoutError):
             return False
 
-    async def open(self, attempt: Attempt, place: Place) -> None:
-        link = Link(self, attempt.server, place)
+    async def open_connection(self, attempt: Attempt, endpoint: Endpoint) -> None:
+        connection = ServerConnection(self, attempt.server, endpoint)
         try:
             async with asyncio.timeout(self.connect_timeout_s):
-                await self.loop.create_connection(lambda: link, *place[0])
+                await self.loop.create_connection(lambda: connection, *endpoint[0])
         except (OSError, TimeoutError):
-            if attempt in self.opening:
-                self.give_up(attempt, Outcome.CONNECT_FAILED)
+            if attempt in self.connecting:
+                self.abort_attempt(attempt, Outcome.CONNECT_FAILED)
             return
-        self.links[link] = None
-        if attempt in self.opening:
-            del self.opening[attempt]
-            link.start(attempt)
+        self.connections[connection] = None
+        if attempt in self.connecting:
+            del self.connecting[attempt]
+            connection.start(attempt)
         else:
-            self.rest(link)
-
-    def finish(self, attempt: Attempt, outcome: Outcome, value: bytes) -> None:
-        attempt.link = None
-        if attempt.until:
-            attempt.until.cancel()
-        self.ended(attempt, outcome, value)
-
-    def give_up(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Wait no longer; what was never written whole has never run."""
-        if attempt in self.opening:
-            del self.opening[attempt]
-            if attempt.opening:
-                attempt.opening.cancel()
-            never_ran = True
-        elif link := attempt.link:
-            link.attempt, never_ran = None, not link.written
-            link.transport.abort()
+            self.keep_idle(connection)
+
+    def end_attempt(self, attempt: Attempt, outcome: Outcome, value: bytes) -> None:
+        attempt.connection = None
+        if attempt.deadline_timer:
+            attempt.deadline_timer.cancel()
+        self.on_end(attempt, outcome, value)
+
+    def abort_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
+        """End an attempt without its answer; one that was not fully written has never been executed."""
+        if attempt in self.connecting:
+            del self.connecting[attempt]
+            if attempt.connect_task:
+                attempt.connect_task.cancel()
+            never_executed = True
+        elif connection := attempt.connection:
+            connection.attempt, never_executed = None, not connection.written
+            connection.transport.abort()
         else:
             return
         if outcome is Outcome.TIMEOUT:
-            # Guards against a machine that vanished without a word taking a request on each warm connection;
-            # a new one shows in time that it is gone, and that nothing ran.
-            self.cool(attempt.server)
-            outcome = Outcome.CONNECT_FAILED if never_ran else outcome
-        self.finish(attempt, outcome, b"")
-
-    def rest(self, link: Link) -> None:
-        """Keep a connection for the next attempt, unless its server has drained, gone or moved meanwhile."""
-        if self.places.get(link.server) != link.place or link.server in self.draining:
-            return link.transport.abort()
-        link.idle_s = self.loop.time()
-        self.idle.setdefault(link.server, []).append(link)
-        if self.sweeper is None:
-            self.sweeper = self.loop.call_later(self.idle_s, self.sweep)
+            # A machine that vanished without closing its connections would swallow one request on each idle
+            # one; a new connection fails in time, and shows that nothing was executed.
+            self.close_idle(attempt.server)
+            outcome = Outcome.CONNECT_FAILED if never_executed else outcome
+        self.end_attempt(attempt, outcome, b"")
+
+    def keep_idle(self, connection: ServerConnection) -> None:
+        """Keep a connection for the next attempt, unless its server drains, is gone or has moved."""
+        if self.endpoints.get(connection.server) != connection.endpoint or connection.server in self.draining:
+            return connection.transport.abort()
+        connection.idle_since_s = self.loop.time()
+        self.idle.setdefault(connection.server, []).append(connection)
+        if self.sweep_timer is None:
+            self.sweep_timer = self.loop.call_later(self.idle_timeout_s, self.sweep)
 
     def sweep(self) -> None:
-        """Close what has been idle for long; runs only while something is idle."""
-        before = self.loop.time() - self.idle_s
-        for links in self.idle.values():
-            while links and links[0].idle_s <= before:
-                links.pop(0).transport.abort()
-        self.idle = {server: links for server, links in self.idle.items() if links}
-        self.sweeper = self.loop.call_later(self.idle_s / 4, self.sweep) if self.idle else None
-
-    def lost(self, link: Link) -> None:
-        self.links.pop(link, None)
-        if link in (idle := self.idle.get(link.server, [])):
-            idle.remove(link)
+        """Close connections past the idle time-out; runs only while there are idle connections."""
+        idle_before_s = self.loop.time() - self.idle_timeout_s
+        for connections in self.idle.values():
+            while connections and connections[0].idle_since_s <= idle_before_s:
+                connections.pop(0).transport.abort()
+        self.idle = {server: connections for server, connections in self.idle.items() if connections}
+        self.sweep_timer = self.loop.call_later(self.idle_timeout_s / 4, self.sweep) if self.idle else None
+
+    def remove_connection(self, connection: ServerConnection) -> None:
+        self.connections.pop(connection, None)
+        if connection in (idle := self.idle.get(connection.server, [])):
+            idle.remove(connection)
 
     def close(self) -> None:
-        if self.sweeper:
-            self.sweeper.cancel()
-        for attempt in list(self.opening):
-            if attempt.opening:
-                attempt.opening.cancel()
-        for probe in self.probes:
-            probe.cancel()
-        for link in list(self.links):
-            link.transport.abort()
+        if self.sweep_timer:
+            self.sweep_timer.cancel()
+        for attempt in list(self.connecting):
+            if attempt.connect_task:
+                attempt.connect_task.cancel()
+        for task in self.probe_tasks:
+            task.cancel()
+        for connection in list(self.connections):
+            connection.transport.abort()
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -144,11 +144,11 @@
         async with World(serve) as world:
             node = (await world.start()).node
             assert node
-            node.longest_ns = 0  # each request starts a new set
+            node.max_deadline_ns = 0  # each request starts a new set
             client = await world.client()
             for n in range(50):
                 assert await client.ask(*query(n)) == b"value"
-            assert sum(map(len, node.ids)) <= 2
+            assert sum(map(len, node.client_ids)) <= 2
 
     run(scenario)
 
--- a/tests/test_bad_servers.py
+++ b/tests/test_bad_servers.py
@@ -31,9 +31,9 @@
 def test_only_a_well_formed_error_counts_as_not_executed(text: bytes, outcome: Outcome | None) -> None:
     if outcome is None:
         with pytest.raises(resp.StreamError):
-            servers.read(resp.SimpleElement(b"-", text))
+            servers.parse_answer(resp.SimpleElement(b"-", text))
     else:
-        assert servers.read(resp.SimpleElement(b"-", text)) == (outcome, b"")
+        assert servers.parse_answer(resp.SimpleElement(b"-", text)) == (outcome, b"")
 
 
 def test_value_is_served_although_its_load_report_is_unreadable() -> None:
@@ -64,7 +64,7 @@
 
 def test_connection_with_unread_data_is_not_reused(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(servers, "REST_S", -1.0)
+        monkeypatch.setattr(servers, "REUSE_DELAY_S", -1.0)
         async with World(serve) as world:
             client = await (await world.start()).client()
             assert await client.ask(*submit()) == b"value"
@@ -73,8 +73,8 @@
             await until(lambda: pool.idle.get(b"s-0"))
             # written directly to the socket, so that the limiter's loop has not read it yet
             os.write(world.stubs[0].writers[0].get_extra_info("socket").fileno(), VALUE)
-            assert pool.warm(b"s-0") is None
-            await until(lambda: not pool.links)
+            assert pool.take_idle(b"s-0") is None
+            await until(lambda: not pool.connections)
 
     run(scenario)
 
@@ -84,11 +84,11 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, text: bytes
 ) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(servers, "STALL_S", 0.02)
+        monkeypatch.setattr(servers, "STALL_TIMEOUT_S", 0.02)
         async with World(saying(text)) as world:
             client = await (await world.start()).client()
             assert str(await client.ask(*submit())) == "ERR failed"
-            assert "half an answer" in caplog.text
+            assert "incomplete answer" in caplog.text
 
     run(scenario)
 
@@ -104,14 +104,14 @@
                 world.discovery.push(
                     list_update(n, instance(f"s-{n}", port), instance(f"s-{n - 1}", port, "DELETED"))
                 )
-                await until(lambda n=n: list(pool.places)[-1:] == [b"s-%d" % n])  # type: ignore[misc]
+                await until(lambda n=n: list(pool.endpoints)[-1:] == [b"s-%d" % n])  # type: ignore[misc]
                 assert await client.ask(*submit(n)) == b"value"
             world.discovery.push(list_update(40, instance("s-39", port, "DRAINING")))
             await until(lambda: pool.draining)
             world.discovery.push(
                 list_update(41, instance("s-39", port, "DELETED"), instance("s-0", port, "DELETED"))
             )
-            await until(lambda: not pool.places and not pool.links)
+            await until(lambda: not pool.endpoints and not pool.connections)
             assert not pool.draining and not pool.idle and not node.limiter.servers
             assert not node.attempts and not node.limiter.in_flight
 
@@ -131,10 +131,10 @@
             client.send(*submit())
             await until(lambda: world.stubs[0].commands)
             world.discovery.push(list_update(2, instance("s-0", world.stubs[0].port, "DELETED")))
-            await until(lambda: not node.servers.places)
+            await until(lambda: not node.servers.endpoints)
             world.stubs[0].release.set()
             assert await client.answer() == b"value"
-            await until(lambda: not node.servers.links)
+            await until(lambda: not node.servers.connections)
             assert not node.servers.idle
 
     run(scenario)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -24,7 +24,7 @@
 
 from aniseshed.interface import AttemptEnded, Outcome
 from hookport import clients, counter, discovery, node, servers
-from hookport.servers import Attempt, Link
+from hookport.servers import Attempt, ServerConnection
 
 
 def run(scenario: Callable[[], Awaitable[None]]) -> None:
@@ -142,7 +142,7 @@
 
 def test_idle_server_connection_is_reused_unless_it_was_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(servers, "REST_S", -1.0)
+        monkeypatch.setattr(servers, "REUSE_DELAY_S", -1.0)
         async with World(serve) as world:
             client = await (await world.start()).client()
             stub = world.stubs[0]
@@ -151,7 +151,7 @@
             assert len(stub.writers) == 1
             assert world.node
             stub.writers[0].close()
-            await until(lambda: world.node and not world.node.servers.links)
+            await until(lambda: world.node and not world.node.servers.connections)
             assert await client.ask(*submit(9)) == b"value"
             assert len(stub.writers) == 2 and len(stub.commands) == 6
 
@@ -180,7 +180,7 @@
     """A server that vanished without closing its connections would swallow one request on each of them."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(servers, "REST_S", -1.0)
+        monkeypatch.setattr(servers, "REUSE_DELAY_S", -1.0)
         async with World(hold) as world:
             client = await (await world.start()).client()
             client.send(*submit(1))
@@ -263,14 +263,14 @@
             assert world.node
             ends: list[Outcome] = []
             pool = world.node.servers
-            pool.ended = lambda attempt, how, value: ends.append(how)
-            link, transport = Link(pool, b"s-0", (("127.0.0.1", 1), 0)), HalfWritten()
-            link.connection_made(transport)  # type: ignore[arg-type]
-            link.start(Attempt(1, 0, b"s-0", b"payload", 0))
+            pool.on_end = lambda attempt, how, value: ends.append(how)
+            connection, transport = ServerConnection(pool, b"s-0", (("127.0.0.1", 1), 0)), HalfWritten()
+            connection.connection_made(transport)  # type: ignore[arg-type]
+            connection.start(Attempt(1, 0, b"s-0", b"payload", 0))
             if drained:
                 transport.left = 0
-                link.resume_writing()
-            link.connection_lost(None)
+                connection.resume_writing()
+            connection.connection_lost(None)
             assert ends == [outcome]
 
     run(scenario)
@@ -350,10 +350,10 @@
             client = await (await world.start()).client()
             assert world.node
             servers = world.node.servers
-            servers.idle_s = 0.05
+            servers.idle_timeout_s = 0.05
             assert await client.ask(*query()) == b"value"
             await until(lambda: world.stubs[0].closed == 1)
-            await until(lambda: servers.sweeper is None and not servers.links)
+            await until(lambda: servers.sweep_timer is None and not servers.connections)
 
     run(scenario)
 
@@ -368,9 +368,9 @@
             assert world.node
             limiter = world.node
             await until(
-                lambda: not limiter.open_requests and not limiter.attempts and not limiter.servers.links
+                lambda: not limiter.open_requests and not limiter.attempts and not limiter.servers.connections
             )
-            assert limiter.held_bytes == 0 and not limiter.clients.connections
+            assert limiter.open_request_bytes == 0 and not limiter.clients.connections
 
     run(scenario)
 
@@ -403,7 +403,7 @@
         ends: list[tuple[int, Outcome, float]] = []
         loop = asyncio.get_running_loop()
         calls = counter.Counter(
-            loop, ("127.0.0.1", stub.port), 0.05, 5.0, lambda c, how, total: ends.append((c.name, how, total))
+            loop, ("127.0.0.1", stub.port), 0.05, 5.0, lambda c, how, total: ends.append((c.key, how, total))
         )
         calls.connect()
         await until(lambda: calls.connection)
@@ -482,7 +482,7 @@
             )
             await until(lambda: b"s-1" not in servers)
             assert servers[b"s-0"].started_ns == 1_800_000_000_000 * 10**6
-            assert list(world.node.servers.places) == [b"s-0"]
+            assert list(world.node.servers.endpoints) == [b"s-0"]
 
     run(scenario)
 
@@ -497,16 +497,16 @@
             client = await world.client()
             servers, limiter = world.node.servers, world.node
             may_open = asyncio.Event()
-            open_connection = servers.open
+            open_connection = servers.open_connection
 
             async def slow_open(attempt: Attempt, address: tuple[str, int]) -> None:
                 await may_open.wait()
                 await open_connection(attempt, address)
 
-            servers.open = slow_open  # type: ignore[method-assign]
+            servers.open_connection = slow_open  # type: ignore[method-assign]
             client.send(*submit())
-            await until(lambda: servers.opening)
-            (attempt,) = servers.opening
+            await until(lambda: servers.connecting)
+            (attempt,) = servers.connecting
             draining_stub = world.stubs[int(attempt.server[2:])]
             limiter.apply_server_list(*discovery.read_list(
                 {"generation": 2, "reset": False,
@@ -597,14 +597,14 @@
             await until(lambda: world.node and len(world.node.clients.connections) == 4)
             # the only idle server connection is closed to make room for one to another server
             servers = world.node.servers
-            (old,) = servers.links
-            servers.most = 1
+            (old,) = servers.connections
+            servers.max_connections = 1
             other = next(n for n in range(2) if old.server != b"s-%d" % n)
             servers.send(attempt := Attempt(9, 0, b"s-%d" % other, hiredis.pack_command(query(2)), 0))
-            servers.ended = lambda *ended: ends.append(ended)
+            servers.on_end = lambda *ended: ends.append(ended)
             ends: list[tuple[Attempt, Outcome, bytes]] = []
             await until(lambda: ends)
-            assert ends == [(attempt, Outcome.OK, b"value")] and old not in servers.links
-            assert len(servers.links) == 1
+            assert ends == [(attempt, Outcome.OK, b"value")] and old not in servers.connections
+            assert len(servers.connections) == 1
 
     run(scenario)
