--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -67,8 +67,8 @@
         async with World(serve) as world:
             node = (await world.start()).node
             assert node
-            for row in (node.clients.no_command, node.clients.partial_command, node.clients.no_request):
-                row.timeout_s = 0.05
+            for queue in (node.clients.no_command, node.clients.partial_command, node.clients.no_request):
+                queue.timeout_s = 0.05
             silent, half, later, greeted = [await world.client() for _ in range(4)]
             half.writer.write(b"*4\r\n$9\r\nSVC.QUE")
             assert await greeted.ask(b"PING") == b"PONG"
--- a/tests/test_bad_servers.py
+++ b/tests/test_bad_servers.py
@@ -165,7 +165,7 @@
         ends: list[Outcome] = []
         calls = counter.Counter(
             asyncio.get_running_loop(), ("127.0.0.1", stub.port), 0.01, 5.0,
-            lambda call, how, total: ends.append(how),
+            lambda call, result, total: ends.append(result),
         )  # fmt: skip
         first_s = calls.stall_s
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -263,7 +263,7 @@
             assert world.node
             ends: list[Outcome] = []
             pool = world.node.servers
-            pool.on_end = lambda attempt, how, value: ends.append(how)
+            pool.on_end = lambda attempt, result, value: ends.append(result)
             connection, transport = ServerConnection(pool, b"s-0", (("127.0.0.1", 1), 0)), HalfWritten()
             connection.connection_made(transport)  # type: ignore[arg-type]
             connection.start(Attempt(1, 0, b"s-0", b"payload", 0))
@@ -403,7 +403,11 @@
         ends: list[tuple[int, Outcome, float]] = []
         loop = asyncio.get_running_loop()
         calls = counter.Counter(
-            loop, ("127.0.0.1", stub.port), 0.05, 5.0, lambda c, how, total: ends.append((c.key, how, total))
+            loop,
+            ("127.0.0.1", stub.port),
+            0.05,
+            5.0,
+            lambda call, result, total: ends.append((call.key, result, total)),
         )
         calls.connect()
         await until(lambda: calls.connection)
@@ -432,7 +436,7 @@
         await until(lambda: calls.connection is None)
         calls.call(5, 1.0, 10**9)
         await until(lambda: len(ends) == 4)
-        assert [how for _, how, _ in ends[2:]] == [Outcome.FULL, Outcome.CONNECT_FAILED]
+        assert [result for _, result, _ in ends[2:]] == [Outcome.FULL, Outcome.CONNECT_FAILED]
         calls.close()
 
     run(scenario)
@@ -445,7 +449,7 @@
         ends: list[Outcome] = []
         loop = asyncio.get_running_loop()
         calls = counter.Counter(
-            loop, ("127.0.0.1", stub.port), 20.0, 5.0, lambda call, how, total: ends.append(how)
+            loop, ("127.0.0.1", stub.port), 20.0, 5.0, lambda call, result, total: ends.append(result)
         )
         calls.call(1, 1.0, 10**9)
         await until(lambda: stub.commands)
