--- a/aniseshed/policy.py
+++ b/aniseshed/policy.py
@@ -66,10 +66,14 @@
         self.unsynced: list[Account] = []  # customers whose counts may have begun again
         self.heartbeats: dict[int, Heartbeat] = {}  # of the roll, out, by number of the call
         self.last_call_id, self.start_ns = 0, -1
-        self.weather = CounterHealth(settings.counter_timeout_ns)
-        self.roll = PartitionDetector(settings.index, self.limiters, 0, settings.may_message_peers)
-        self.spent = ExhaustedQuotas(SmoothBursty(0, TOLD_A_SECOND / self.limiters, WORDS_SAVED, 1.0))
-        self.pace = CallPacer(self.limiters, settings.counter_timeout_ns)
+        self.counter_health = CounterHealth(settings.counter_timeout_ns)
+        self.partition_detector = PartitionDetector(
+            settings.index, self.limiters, 0, settings.may_message_peers
+        )
+        self.exhausted_quotas = ExhaustedQuotas(
+            SmoothBursty(0, TOLD_A_SECOND / self.limiters, WORDS_SAVED, 1.0)
+        )
+        self.call_pacer = CallPacer(self.limiters, settings.counter_timeout_ns)
         self.unit_latency_ns = [0.0] * len(settings.classes)  # of one unit's answer
         self.max_timeout_ns = [0] * len(settings.classes)
         self.recent_attempts: list[deque[Attempt]] = [deque() for _ in settings.classes]
@@ -86,7 +90,7 @@
         """The actions that answer one event."""
         self.now_ns, self.actions = now_ns, []
         if self.start_ns < 0:
-            self.start_ns = self.roll.start_ns = self.weather.since_ns = now_ns
+            self.start_ns = self.partition_detector.start_ns = self.counter_health.since_ns = now_ns
             if self.settings.has_counter and self.limiters > 1:
                 self.set_timer(self.random.random() * BEAT_NS, self.on_heartbeat, True)
         if handler := self.handlers.get(type(event)):
@@ -160,7 +164,7 @@
     def admit(self, work: PendingRequest, customer: Account) -> None:
         """The ordinary path: the slice, then the counter, then the ticket."""
         customer.bucket.resync(self.now_ns)
-        if silent := self.weather.is_silent(self.now_ns):
+        if silent := self.counter_health.is_silent(self.now_ns):
             customer.cap_slice(self.now_ns)
         # Guards against slices and grants together passing the quota: of a spent one, a slice is nothing.
         short = customer.total is not None and customer.refill(self.now_ns) < work.units
@@ -168,7 +172,7 @@
         call = timely and not short and self.may_call_counter(1 + (CALLS_SAVED - 1) * (1 - work.value_rank))
         # Guards against all limiters of a large set taking ahead at once what none of their slices can hold.
         sliver = customer.bucket.max_permits < work.units
-        told = sliver and not silent and self.spent.remaining_ns(self.now_ns, customer.name)
+        told = sliver and not silent and self.exhausted_quotas.remaining_ns(self.now_ns, customer.name)
         work.awaiting_counter = True
         short = short and not silent  # then the slice alone decides
         if customer.bucket.next_free_ticket_ns <= self.now_ns and not (short or (sliver and call) or told):
@@ -184,10 +188,17 @@
         if customer is None:
             now_ns, size = self.now_ns, min(max(1.0, request.set_size), self.limiters)
             quota, ceiling = (plan.rate, plan.burst), (plan.ceiling_rate, plan.ceiling_burst)
-            self.roll.enabled = self.roll.enabled or size <= GROUP
+            self.partition_detector.enabled = self.partition_detector.enabled or size <= GROUP
             digit = assign_digit(self.settings.index, self.limiters, round(size))
             customer = Account.create(
-                now_ns, request.customer, size, quota, ceiling, digit, now_ns - self.start_ns, self.weather
+                now_ns,
+                request.customer,
+                size,
+                quota,
+                ceiling,
+                digit,
+                now_ns - self.start_ns,
+                self.counter_health,
             )
             for old in list(self.accounts.values()):  # in order of last use
                 if (
@@ -199,19 +210,19 @@
                 del self.accounts[old.name]
         self.accounts[request.customer] = customer
         customer.last_used_ns = self.now_ns
-        part = self.roll.quota_share(round(request.set_start), round(customer.set_size))
+        part = self.partition_detector.quota_share(round(request.set_start), round(customer.set_size))
         if part != customer.quota_share:
             customer.rescale(self.now_ns, part)
         return customer
 
     def may_call_counter(self, saved: float) -> bool:
-        return self.settings.has_counter and self.pace.is_free(self.now_ns, saved)
+        return self.settings.has_counter and self.call_pacer.is_free(self.now_ns, saved)
 
     def call_counter(self, customer: Account, request_id: int, units: float) -> None:
         """Call the counter with these units and all local spends since the last call."""
         self.last_call_id = call = self.last_call_id + 1
         question = self.counter_calls[call] = customer.start_call(self.now_ns, request_id, units, call)
-        self.pace.on_call()
+        self.call_pacer.on_call()
         amount = question.amount + question.digit_amount
         self.actions.append(api.Count(question.key, amount, customer.window_ns, call))
 
@@ -233,17 +244,19 @@
         """Answer the roll, tell the peers that this limiter lives, and look at the state of the counter."""
         self.set_timer(BEAT_NS, self.on_heartbeat, True)
         # A silent counter is asked whether it is back.
-        if self.roll.enabled or self.weather.is_silent(self.now_ns):
-            beat = self.roll.next_heartbeat(self.now_ns)
+        if self.partition_detector.enabled or self.counter_health.is_silent(self.now_ns):
+            beat = self.partition_detector.next_heartbeat(self.now_ns)
             self.last_call_id = call = self.last_call_id + 1
             self.heartbeats = {
                 call: beat,
-                **{old: b for old, b in self.heartbeats.items() if b is self.roll.pending},
+                **{old: b for old, b in self.heartbeats.items() if b is self.partition_detector.pending},
             }
             self.actions.append(api.Count(beat.key, beat.amount, 2 * EPOCH_NS, call))
-        if self.settings.may_message_peers and self.roll.enabled:
-            self.actions += [api.Tell(other, HEARTBEAT_PAYLOAD) for other in self.roll.recipients()]
-        if self.weather.update_state(self.now_ns, bool(self.roll.split)):
+        if self.settings.may_message_peers and self.partition_detector.enabled:
+            self.actions += [
+                api.Tell(other, HEARTBEAT_PAYLOAD) for other in self.partition_detector.recipients()
+            ]
+        if self.counter_health.update_state(self.now_ns, bool(self.partition_detector.split)):
             self.actions.append(api.Log(self.report().to_log_line()))
 
     def start_resync(self) -> None:
@@ -266,31 +279,34 @@
             return
         customer = self.unsynced.pop()
         news = (
-            customer.answered_ns < self.weather.replaced_ns
+            customer.answered_ns < self.counter_health.replaced_ns
             or customer.unreported >= customer.min_report_units
         )
         if news and not customer.open_calls and self.may_call_counter(1.0):
             self.call_counter(customer, -1, 0.0)
-        self.set_timer(self.pace.interval_ns * self.random.uniform(1, 2), self.resync_next, True)
+        self.set_timer(self.call_pacer.interval_ns * self.random.uniform(1, 2), self.resync_next, True)
 
     def on_counter_result(self, heard: bool) -> None:
-        back = heard and self.weather.is_silent(self.now_ns)
-        self.weather.on_result(self.now_ns, heard)
+        back = heard and self.counter_health.is_silent(self.now_ns)
+        self.counter_health.on_result(self.now_ns, heard)
         if back:
-            self.pace.on_recovered(self.now_ns)
+            self.call_pacer.on_recovered(self.now_ns)
             self.start_resync()
 
     def on_peer_message(self, event: api.PeerMessage) -> None:
         if event.payload == HEARTBEAT_PAYLOAD:
-            self.roll.on_message(self.now_ns, event.sender)
+            self.partition_detector.on_message(self.now_ns, event.sender)
         else:
-            self.spent.on_message(self.now_ns, event.payload)
+            self.exhausted_quotas.on_message(self.now_ns, event.payload)
 
     def report(self) -> api.CounterReport:
         """The state of the counter, since when, and the bound on the overrun of each plan's customers."""
-        told = bounds(self.settings, self.limiters, self.weather)
+        told = bounds(self.settings, self.limiters, self.counter_health)
         return api.CounterReport(
-            self.weather.state, self.weather.since_ns, told, tuple(sorted(self.roll.split))
+            self.counter_health.state,
+            self.counter_health.since_ns,
+            told,
+            tuple(sorted(self.partition_detector.split)),
         )
 
     def announce_exhausted(self, work: PendingRequest) -> None:
@@ -299,18 +315,18 @@
         customer = work.account
         if customer.set_size <= GROUP or customer.bucket.max_permits >= work.units or customer.balance >= 1:
             return
-        if word := self.spent.on_refused(self.now_ns, customer.name, rank):
+        if word := self.exhausted_quotas.on_refused(self.now_ns, customer.name, rank):
             self.actions.append(api.Tell(None, word))
 
     def on_counted(self, event: api.Counted) -> None:
         if beat := self.heartbeats.pop(event.call_id, None):
             heard = event.outcome is Outcome.OK and math.isfinite(event.total)
             self.on_counter_result(heard)
-            if heard and self.roll.on_answer(self.now_ns, beat, event.total):
-                self.weather.replaced_ns = self.now_ns
+            if heard and self.partition_detector.on_answer(self.now_ns, beat, event.total):
+                self.counter_health.replaced_ns = self.now_ns
                 self.start_resync()
             elif event.outcome in NEVER_EXECUTED:
-                self.roll.on_rejected(beat)
+                self.partition_detector.on_rejected(beat)
             return
         if (question := self.counter_calls.pop(event.call_id, None)) is None:
             return
@@ -319,7 +335,7 @@
         waits = work is not None and work.awaiting_counter and question.status is CallStatus.IN_FLIGHT
         doubted, handed = bool(customer.uncertain_calls), customer.carried_over
         if question.status is CallStatus.IN_FLIGHT:
-            self.pace.on_result(event.outcome is Outcome.OK)
+            self.call_pacer.on_result(event.outcome is Outcome.OK)
             self.on_counter_result(heard)
         if heard and customer.on_answer(self.now_ns, question, event.total):
             if work and waits:
@@ -359,11 +375,11 @@
             )  # beyond the quota it earns more than it costs, and there is room
         customer.bucket.resync(self.now_ns)
         wait_ns = customer.bucket.next_free_ticket_ns - self.now_ns
-        if customer.total is not None and not self.weather.is_silent(self.now_ns):
+        if customer.total is not None and not self.counter_health.is_silent(self.now_ns):
             short = work.units - customer.refill(self.now_ns)
             wait_ns = max(wait_ns, round(short / customer.rate * SECOND_NS))
-        if customer.bucket.max_permits < work.units and not self.weather.is_silent(self.now_ns):
-            wait_ns = max(wait_ns, self.spent.remaining_ns(self.now_ns, customer.name))
+        if customer.bucket.max_permits < work.units and not self.counter_health.is_silent(self.now_ns):
+            wait_ns = max(wait_ns, self.exhausted_quotas.remaining_ns(self.now_ns, customer.name))
         if wait_ns > MAX_QUOTA_WAIT_SHARE * (work.target_at_ns - self.now_ns):
             return self.refuse(work, wait_ns)
         self.charge(work)  # told now, so that nobody grants it meanwhile
--- a/tests/test_counter_lost.py
+++ b/tests/test_counter_lost.py
@@ -133,14 +133,19 @@
     world.run(6)
     world.counter.split()
     world.run(ABSENT_BEATS + 2)
-    assert [sorted(b.limiter.roll.split) for b in world.benches] == [[1, 3], [0, 2], [1, 3], [0, 2]]
+    assert [sorted(b.limiter.partition_detector.split) for b in world.benches] == [
+        [1, 3],
+        [0, 2],
+        [1, 3],
+        [0, 2],
+    ]
     before, began_ns = world.sent, world.now_ns
     world.run(60)
     rate = (world.sent - before) / ((world.now_ns - began_ns) / SECOND)
     assert 0.85 * PREMIUM[0] <= rate <= 1.05 * PREMIUM[0]
     world.counter.heal()
     world.run(RETURN_BEATS + 3)
-    assert not any(bench.limiter.roll.split for bench in world.benches)
+    assert not any(bench.limiter.partition_detector.split for bench in world.benches)
     before, began_ns = world.sent, world.now_ns
     world.run(10)
     assert world.sent - before <= PREMIUM[0] * 10 + PREMIUM[1] / 2  # no second burst
@@ -153,18 +158,18 @@
     world.weights = [1.0, 1.0]
     world.shift_ns = 1 << 62
     world.run(8)
-    assert not any(bench.limiter.roll.split for bench in world.benches) and dead
+    assert not any(bench.limiter.partition_detector.split for bench in world.benches) and dead
     assert world.benches[0].limiter.accounts[1].quota_share == 1.0
 
 
 def test_where_limiters_may_not_speak_who_does_not_answer_the_roll_is_taken_for_split() -> None:
     world = World(3, 3, PREMIUM, 1.0, may_tell=False)
     world.run(6)
-    assert not world.benches[0].limiter.roll.split
+    assert not world.benches[0].limiter.partition_detector.split
     world.benches.pop()
     world.weights, world.shift_ns = [1.0, 1.0], 1 << 62
     world.run(8)
-    assert world.benches[0].limiter.roll.split == {2}
+    assert world.benches[0].limiter.partition_detector.split == {2}
     assert world.benches[0].limiter.accounts[1].quota_share == pytest.approx(2 / 3)
 
 
@@ -194,7 +199,7 @@
         while bench.pending_calls:
             bench.answer_call(0.0, api.Outcome.TIMEOUT)
         bench.advance(round(SILENT_WAITS * SETTINGS.counter_timeout_ns))
-    assert bench.limiter.weather.is_silent(bench.now_ns)
+    assert bench.limiter.counter_health.is_silent(bench.now_ns)
     bench.request()
     assert account.bucket.stored_permits <= max(0.0, account.balance) / 2 + 1e-6
 
@@ -451,4 +456,4 @@
     beat = bench.heartbeats.pop(0)
     bench.handle(api.Counted(beat.key, api.Outcome.OK, max(0.0, beat.amount), MS, beat.call_id))  # from zero
     bench.advance(100 * MS)
-    assert len(bench.counter_calls) > calls and bench.limiter.weather.replaced_ns > START
+    assert len(bench.counter_calls) > calls and bench.limiter.counter_health.replaced_ns > START
--- a/tests/test_exhausted_quotas.py
+++ b/tests/test_exhausted_quotas.py
@@ -115,8 +115,8 @@
 def test_while_the_counter_is_silent_the_slice_alone_decides() -> None:
     bench = without_calls()
     bench.handle(api.PeerMessage(3, word(7)))
-    bench.limiter.weather.first_miss_ns = bench.now_ns - SECOND
-    assert bench.limiter.weather.is_silent(bench.now_ns)
+    bench.limiter.counter_health.first_miss_ns = bench.now_ns - SECOND
+    assert bench.limiter.counter_health.is_silent(bench.now_ns)
     assert bench.was_sent(answered(bench, customer=7))
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -76,7 +76,10 @@
             for node in nodes:
                 await node.start()
             await until(
-                lambda: nodes[1].limiter.roll.message_ns.get(0) and nodes[0].limiter.roll.message_ns.get(1)
+                lambda: (
+                    nodes[1].limiter.partition_detector.message_ns.get(0)
+                    and nodes[0].limiter.partition_detector.message_ns.get(1)
+                )
             )
             nodes[0].report()
             for node in nodes:
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -120,12 +120,12 @@
         while bench.pending_calls:
             bench.answer_call(0.0, Outcome.TIMEOUT)
         bench.advance(100 * MS)
-    assert bench.limiter.weather.is_silent(bench.now_ns)
+    assert bench.limiter.counter_health.is_silent(bench.now_ns)
     bench.advance(2 * SECOND)
     beat = bench.heartbeats[-1]
     bench.handle(Counted(beat.key, Outcome.OK, 0.0, 2 * MS, beat.call_id))
-    assert not bench.limiter.weather.is_silent(bench.now_ns)
-    assert bench.limiter.pace.consecutive_misses == 0, "and the next requests may ask it again"
+    assert not bench.limiter.counter_health.is_silent(bench.now_ns)
+    assert bench.limiter.call_pacer.consecutive_misses == 0, "and the next requests may ask it again"
 
 
 def test_a_class_that_was_slow_once_is_tried_again() -> None:
