--- a/aniseshed/policy.py
+++ b/aniseshed/policy.py
@@ -1,7 +1,8 @@
-"""Every decision of aniseshed; its types, events and actions are in aniseshed/interface.py.
+"""The decision logic of a limiter; its events and actions are defined in aniseshed/interface.py.
 
-What a customer's slice, a SmoothBursty, cannot pass is asked of the counter, then held or refused; the books
-of its quota are in aniseshed/account.py."""
+Each limiter holds a slice of every customer's quota in a SmoothBursty. A request beyond the slice is asked of
+the shared counter, and without a grant it waits for a permit or is refused. The accounting of a quota is in
+aniseshed/account.py."""
 
 from __future__ import annotations
 
@@ -27,14 +28,15 @@
 MAX_QUOTA_WAIT_SHARE = 0.4  # of the latency target; a longer wait for quota leaves no time to be served
 ACCOUNT_IDLE_WINDOWS = 2.0  # An account idle for this many windows has a full bucket and is dropped.
 EWMA_WEIGHT = 0.1  # of one answer in the running means, so about ten answers establish a change
-MAX_LATENCY_RATIO = 3.0  # A slower answer counts as this multiple of the mean latency.
+MAX_LATENCY_RATIO = 3.0  # bounds an answer's latency over the mean; this much alone shows a slow server
 MAX_CANDIDATES = 8  # servers per limiter, few enough to learn each one's latency from its own answers
 FULL_BACKOFF_TARGETS = 2.0  # latency targets for which a plan and class skip a server that was full for them
 EJECT_FAILURES = 2  # consecutive failures that eject a server; a single one may be chance
 EJECTION_CONNECT_TIMEOUTS = 4.0  # length of an ejection; afterwards one attempt at a time
 MAX_EJECTED_SHARE = 0.5  # of the servers; if more fail, the fault is not theirs and none is skipped
 UNPROVEN_TIMEOUT_SHARE = 0.3  # of the latency target; the time limit of an attempt at an unproven server
-COLD_PACE_SHARE = 0.5  # of the rate that overloads a cold server, which all limiters share
+# Share of the overload multiple that crashes a cold server, so that all limiters together stay below it.
+COLD_PACE_SHARE = 0.5
 RESUBSCRIBE_SHARE = 0.2  # of the time allowed to resubscribe; the delay is one to two times this share
 LATE_TARGET_SHARE = 0.75  # of the latency target; later answers count as late while there is time to react
 CONGESTION_LATE_SHARE = 0.15  # share of late answers that shows congestion; above the tail of the work itself
@@ -46,12 +48,16 @@
 LOWEST_VALUE_LIMIT_SHARE = 0.5  # of the limit; the rest is kept for requests of a higher value
 RETRY_RATIO = 0.15  # retries allowed per first attempt, so that retries never double the load
 MAX_RETRY_TOKENS = 10.0  # retries that may be saved up for a sudden failure
-MAX_RESYNCED_ACCOUNTS = 64  # sent again after the counter was replaced: the most recently used of a window
+MAX_RESYNCED_ACCOUNTS = 64  # reported again unasked after the counter was replaced, the most recently used
 HEARTBEAT_PAYLOAD = b"here"  # datagram to the other limiters, once per heartbeat
 NEVER_EXECUTED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class Limiter:
+    """Admits requests, picks their servers and decides about retries; it does no I/O and has no clock.
+
+    All state changes in ``handle``, which takes an event and returns the actions that answer it."""
+
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings, self.random = settings, random.Random(seed)
         self.now_ns, self.actions = 0, list[api.Action]()
@@ -62,9 +68,10 @@
         self.pending: dict[int, PendingRequest] = {}
         self.in_flight: dict[tuple[int, int], Attempt] = {}
         self.timers: dict[int, tuple[Callable[..., object], PendingRequest | bool | None]] = {}
-        self.counter_calls: dict[int, CounterCall] = {}  # by number of the call: out, or may be answered late
-        self.unsynced: list[Account] = []  # customers whose counts may have begun again
-        self.heartbeats: dict[int, Heartbeat] = {}  # of the roll, out, by number of the call
+        # By call id: calls in flight, and timed-out ones whose answer may come late.
+        self.counter_calls: dict[int, CounterCall] = {}
+        self.unsynced: list[Account] = []  # accounts whose shared counts may have been reset
+        self.heartbeats: dict[int, Heartbeat] = {}  # in flight, by call id
         self.last_call_id, self.start_ns = 0, -1
         self.counter_health = CounterHealth(settings.counter_timeout_ns)
         self.partition_detector = PartitionDetector(
@@ -74,8 +81,9 @@
             SmoothBursty(0, TOLD_A_SECOND / self.limiters, WORDS_SAVED, 1.0)
         )
         self.call_pacer = CallPacer(self.limiters, settings.counter_timeout_ns)
-        self.unit_latency_ns = [0.0] * len(settings.classes)  # of one unit's answer
-        self.max_timeout_ns = [0] * len(settings.classes)
+        self.unit_latency_ns = [0.0] * len(settings.classes)  # running mean per unit, by class
+        self.max_timeout_ns = [0] * len(settings.classes)  # longest seen, by class
+        # By class: attempts that were sent too recently to be late.
         self.recent_attempts: list[deque[Attempt]] = [deque() for _ in settings.classes]
         self.concurrency_limit, self.late_share, self.decreased_ns, self.mean_value = 0.0, 0.0, 0, 0.0
         self.retry_tokens, self.recent_answers, self.recent_answers_ns = MAX_RETRY_TOKENS, 0.0, 0
@@ -87,7 +95,7 @@
             api.PeerMessage: self.on_peer_message, api.UnitsReturned: self.on_units_returned}  # fmt: skip
 
     def handle(self, now_ns: int, event: api.Event) -> list[api.Action]:
-        """The actions that answer one event."""
+        """Process one event and return the resulting actions; ``now_ns`` must not decrease."""
         self.now_ns, self.actions = now_ns, []
         if self.start_ns < 0:
             self.start_ns = self.partition_detector.start_ns = self.counter_health.since_ns = now_ns
@@ -98,99 +106,127 @@
         return self.actions
 
     def set_timer(
-        self, delay_ns: float, call: Callable[..., object], work: PendingRequest | bool | None = None
+        self, delay_ns: float, callback: Callable[..., object], pending: PendingRequest | bool | None = None
     ) -> None:
+        """Set a timer that calls ``callback``, with ``pending`` if that request still has no final answer.
+
+        ``pending`` is True for a callback without arguments. If it is None, the timer subscribes to the
+        server list and ``callback`` is not called."""
         self.timer_token = (self.timer_token + 1) & 0xFFFFFFFF
-        self.timers[self.timer_token] = (call, work)
+        self.timers[self.timer_token] = (callback, pending)
         self.actions.append(api.SetTimer(max(0, round(delay_ns)), self.timer_token))
 
     def on_timer(self, event: api.TimerFired) -> None:
-        call, work = self.timers.pop(event.token, (None, None))
-        if call and work is True:
-            call()
-        elif call and work is None:
+        callback, pending = self.timers.pop(event.token, (None, None))
+        if callback and pending is True:
+            callback()
+        elif callback and pending is None:
             self.actions.append(api.Watch(True))
-        elif call and isinstance(work, PendingRequest) and self.pending.get(work.request.request_id) is work:
-            call(work)
+        elif (
+            callback
+            and isinstance(pending, PendingRequest)
+            and self.pending.get(pending.request.request_id) is pending
+        ):
+            callback(pending)
 
     def on_request(self, request: api.Request) -> None:
-        index, now_ns = request.traffic_class, self.now_ns
-        if index >= len(self.settings.classes) or request.plan >= len(self.settings.plans):
+        class_index, now_ns = request.traffic_class, self.now_ns
+        if class_index >= len(self.settings.classes) or request.plan >= len(self.settings.plans):
             return self.actions.append(api.Refuse(request.request_id, 0))
-        kind, plan = self.settings.classes[index], self.settings.plans[request.plan]
+        traffic_class, plan = self.settings.classes[class_index], self.settings.plans[request.plan]
         units = request.units if 0 < request.units < math.inf else 1.0
-        # A repeat comes with what is left of the deadline: guards against work for what is late already.
-        cut = request.is_retry and request.timeout_ns < self.max_timeout_ns[index]
-        passed_ns = max(0, kind.deadline_ns - request.timeout_ns) * cut
-        self.max_timeout_ns[index] = max(self.max_timeout_ns[index], request.timeout_ns)
-        aim_ns = now_ns + min(kind.target_ns - passed_ns, request.timeout_ns)
-        customer = self.account_for(request, plan)
-        work = self.pending[request.request_id] = PendingRequest(request, kind, plan, units, customer, aim_ns)
-        full = plan.max_in_flight and customer.open_attempts >= max(
-            1, int(plan.max_in_flight / customer.set_size)
+        # A client's retry has only the rest of its deadline, so its latency target is shortened by the time
+        # that has passed. Otherwise work would be spent on answers that are late already.
+        shortened = request.is_retry and request.timeout_ns < self.max_timeout_ns[class_index]
+        elapsed_ns = max(0, traffic_class.deadline_ns - request.timeout_ns) * shortened
+        self.max_timeout_ns[class_index] = max(self.max_timeout_ns[class_index], request.timeout_ns)
+        target_at_ns = now_ns + min(traffic_class.target_ns - elapsed_ns, request.timeout_ns)
+        account = self.account_for(request, plan)
+        pending = self.pending[request.request_id] = PendingRequest(
+            request, traffic_class, plan, units, account, target_at_ns
         )
-        value = work.traffic_class.value * plan.price * units
+        full = plan.max_in_flight and account.open_attempts >= max(
+            1, int(plan.max_in_flight / account.set_size)
+        )
+        value = pending.traffic_class.value * plan.price * units
         self.mean_value += EWMA_WEIGHT * (value - self.mean_value) if self.mean_value else value
-        work.value_rank = min(1.0, value / self.mean_value)
-        # Guards against work that cannot end in the time its client has. One at a time is sent all the same:
-        # nothing else could tell that its class has become faster.
-        refused = full or self.over_limit(work) or (aim_ns <= now_ns and not kind.late_value)
+        pending.value_rank = min(1.0, value / self.mean_value)
+        # A request that is not expected to finish within its timeout is refused while there is a recent
+        # attempt of its class. Without one it is sent, since only an attempt can show that the class has
+        # become faster.
+        refused = (
+            full or self.over_limit(pending) or (target_at_ns <= now_ns and not traffic_class.late_value)
+        )
         refused = (
             refused
-            or bool(self.recent_attempts[index])
-            and self.unit_latency_ns[index] * units > request.timeout_ns
+            or bool(self.recent_attempts[class_index])
+            and self.unit_latency_ns[class_index] * units > request.timeout_ns
         )
         if request.mode is RequestMode.PEEK:
-            self.peek(work, refused)
+            self.peek(pending, refused)
         elif refused:
-            self.refuse(work, kind.target_ns)
+            self.refuse(pending, traffic_class.target_ns)
         elif plan.rate <= 0 or plan.burst <= 0:
-            self.send_first_attempt(work)
+            self.send_first_attempt(pending)
         else:
-            self.admit(work, customer)
-
-    def peek(self, work: PendingRequest, refused: bool) -> None:
-        """What a take would come to by this limiter's own account; it asks nobody and takes nothing."""
-        del self.pending[work.request.request_id]
-        left = max(0.0, work.account.refill(self.now_ns)) if work.plan.rate > 0 else math.inf
-        short_ns = max(0.0, work.units - left) / max(work.account.rate, 1e-9) * SECOND_NS
-        wait_ns = round(max(short_ns, work.traffic_class.target_ns if refused else 0))
-        self.actions.append(api.QuotaAnswer(work.request.request_id, not wait_ns, min(left, 1e15), wait_ns))
+            self.admit(pending, account)
+
+    def peek(self, pending: PendingRequest, refused: bool) -> None:
+        """Answer what a take would return by this limiter's own estimate, without a counter call."""
+        del self.pending[pending.request.request_id]
+        remaining = max(0.0, pending.account.refill(self.now_ns)) if pending.plan.rate > 0 else math.inf
+        refill_ns = max(0.0, pending.units - remaining) / max(pending.account.rate, 1e-9) * SECOND_NS
+        wait_ns = round(max(refill_ns, pending.traffic_class.target_ns if refused else 0))
+        self.actions.append(
+            api.QuotaAnswer(pending.request.request_id, not wait_ns, min(remaining, 1e15), wait_ns)
+        )
 
     def on_units_returned(self, event: api.UnitsReturned) -> None:
-        if customer := self.accounts.get(event.customer):
-            customer.refund(self.now_ns, event.units, False)
+        if account := self.accounts.get(event.customer):
+            account.refund(self.now_ns, event.units, False)
 
-    def admit(self, work: PendingRequest, customer: Account) -> None:
-        """The ordinary path: the slice, then the counter, then the ticket."""
-        customer.bucket.resync(self.now_ns)
+    def admit(self, pending: PendingRequest, account: Account) -> None:
+        """Send a request if the slice or the counter grants its units, else let it wait for a permit."""
+        account.bucket.resync(self.now_ns)
         if silent := self.counter_health.is_silent(self.now_ns):
-            customer.cap_slice(self.now_ns)
-        # Guards against slices and grants together passing the quota: of a spent one, a slice is nothing.
-        short = customer.total is not None and customer.refill(self.now_ns) < work.units
-        timely = work.request.timeout_ns > MIN_COUNTER_TIMEOUTS_LEFT * self.settings.counter_timeout_ns
-        call = timely and not short and self.may_call_counter(1 + (CALLS_SAVED - 1) * (1 - work.value_rank))
-        # Guards against all limiters of a large set taking ahead at once what none of their slices can hold.
-        sliver = customer.bucket.max_permits < work.units
-        told = sliver and not silent and self.exhausted_quotas.remaining_ns(self.now_ns, customer.name)
-        work.awaiting_counter = True
-        short = short and not silent  # then the slice alone decides
-        if customer.bucket.next_free_ticket_ns <= self.now_ns and not (short or (sliver and call) or told):
-            self.charge(work)
-            self.send_first_attempt(work)
-        elif call:
-            self.call_counter(customer, work.request.request_id, work.units)
+            account.cap_slice(self.now_ns)
+        # The slice is not used when the whole quota is known to be spent, since slices and grants together
+        # would exceed it.
+        insufficient = account.total is not None and account.refill(self.now_ns) < pending.units
+        has_time = pending.request.timeout_ns > MIN_COUNTER_TIMEOUTS_LEFT * self.settings.counter_timeout_ns
+        may_call = (
+            has_time
+            and not insufficient
+            and self.may_call_counter(1 + (CALLS_SAVED - 1) * (1 - pending.value_rank))
+        )
+        # In a large set a slice may be smaller than one request. Then all limiters together could overdraw
+        # their slices at once, so the counter decides, or the notice of another limiter that the quota is
+        # exhausted.
+        slice_too_small = account.bucket.max_permits < pending.units
+        known_exhausted = (
+            slice_too_small and not silent and self.exhausted_quotas.remaining_ns(self.now_ns, account.name)
+        )
+        pending.awaiting_counter = True
+        insufficient = insufficient and not silent  # While the counter is silent only the slice decides.
+        if account.bucket.next_free_ticket_ns <= self.now_ns and not (
+            insufficient or (slice_too_small and may_call) or known_exhausted
+        ):
+            self.charge(pending)
+            self.send_first_attempt(pending)
+        elif may_call:
+            self.call_counter(account, pending.request.request_id, pending.units)
         else:
-            self.wait_or_refuse(work)
+            self.wait_or_refuse(pending)
 
     def account_for(self, request: api.Request, plan: api.Plan) -> Account:
-        customer = self.accounts.pop(request.customer, None)
-        if customer is None:
+        """The account of the request's customer; for a new one, idle accounts are dropped."""
+        account = self.accounts.pop(request.customer, None)
+        if account is None:
             now_ns, size = self.now_ns, min(max(1.0, request.set_size), self.limiters)
             quota, ceiling = (plan.rate, plan.burst), (plan.ceiling_rate, plan.ceiling_burst)
             self.partition_detector.enabled = self.partition_detector.enabled or size <= GROUP
             digit = assign_digit(self.settings.index, self.limiters, round(size))
-            customer = Account.create(
+            account = Account.create(
                 now_ns,
                 request.customer,
                 size,
@@ -200,96 +236,105 @@
                 now_ns - self.start_ns,
                 self.counter_health,
             )
-            for old in list(self.accounts.values()):  # in order of last use
+            for idle in list(self.accounts.values()):  # from the least recently used
                 if (
-                    old.open_calls
-                    or old.open_attempts
-                    or now_ns - old.last_used_ns < ACCOUNT_IDLE_WINDOWS * old.window_ns
+                    idle.open_calls
+                    or idle.open_attempts
+                    or now_ns - idle.last_used_ns < ACCOUNT_IDLE_WINDOWS * idle.window_ns
                 ):
                     break
-                del self.accounts[old.name]
-        self.accounts[request.customer] = customer
-        customer.last_used_ns = self.now_ns
-        part = self.partition_detector.quota_share(round(request.set_start), round(customer.set_size))
-        if part != customer.quota_share:
-            customer.rescale(self.now_ns, part)
-        return customer
-
-    def may_call_counter(self, saved: float) -> bool:
-        return self.settings.has_counter and self.call_pacer.is_free(self.now_ns, saved)
-
-    def call_counter(self, customer: Account, request_id: int, units: float) -> None:
-        """Call the counter with these units and all local spends since the last call."""
-        self.last_call_id = call = self.last_call_id + 1
-        question = self.counter_calls[call] = customer.start_call(self.now_ns, request_id, units, call)
+                del self.accounts[idle.name]
+        self.accounts[request.customer] = account
+        account.last_used_ns = self.now_ns
+        quota_share = self.partition_detector.quota_share(round(request.set_start), round(account.set_size))
+        if quota_share != account.quota_share:
+            account.rescale(self.now_ns, quota_share)
+        return account
+
+    def may_call_counter(self, min_saved_calls: float) -> bool:
+        """Whether the counter may be called now, with at least this many calls saved up by the pacing."""
+        return self.settings.has_counter and self.call_pacer.is_free(self.now_ns, min_saved_calls)
+
+    def call_counter(self, account: Account, request_id: int, units: float) -> None:
+        """Call the counter for these units, and report all units spent locally since the last call."""
+        self.last_call_id = call_id = self.last_call_id + 1
+        counter_call = self.counter_calls[call_id] = account.start_call(
+            self.now_ns, request_id, units, call_id
+        )
         self.call_pacer.on_call()
-        amount = question.amount + question.digit_amount
-        self.actions.append(api.Count(question.key, amount, customer.window_ns, call))
-
-    def charge(self, work: PendingRequest) -> None:
-        """Take a request's units from the slice, and tell the counter if that is much of what is left."""
-        customer, work.charged_units, work.charged_to_slice = work.account, work.units, True
-        customer.bucket.reserve(work.units)
-        customer.charge(self.now_ns, work.units)
-        if customer.is_report_due() and self.may_call_counter(CALLS_SAVED / 2):
-            self.call_counter(customer, -1, 0.0)
-
-    def refund(self, work: PendingRequest) -> None:
-        """What was charged for a request of which nothing was sent belongs to its customer again."""
-        units, work.charged_units = work.charged_units, 0.0
-        if units and not work.attempts:
-            work.account.refund(self.now_ns, units, work.charged_to_slice)
+        amount = counter_call.amount + counter_call.digit_amount
+        self.actions.append(api.Count(counter_call.key, amount, account.window_ns, call_id))
+
+    def charge(self, pending: PendingRequest) -> None:
+        """Take a request's units from the slice, and report them if they are a large part of the balance."""
+        account, pending.charged_units, pending.charged_to_slice = pending.account, pending.units, True
+        account.bucket.reserve(pending.units)
+        account.charge(self.now_ns, pending.units)
+        if account.is_report_due() and self.may_call_counter(CALLS_SAVED / 2):
+            self.call_counter(account, -1, 0.0)
+
+    def refund(self, pending: PendingRequest) -> None:
+        """Return the units charged for a request if no attempt was sent."""
+        units, pending.charged_units = pending.charged_units, 0.0
+        if units and not pending.attempts:
+            pending.account.refund(self.now_ns, units, pending.charged_to_slice)
 
     def on_heartbeat(self) -> None:
-        """Answer the roll, tell the peers that this limiter lives, and look at the state of the counter."""
+        """Send the heartbeats to the counter and to the peers, and update the state of the counter."""
         self.set_timer(BEAT_NS, self.on_heartbeat, True)
-        # A silent counter is asked whether it is back.
+        # While the counter is silent, the heartbeat probes whether it has recovered.
         if self.partition_detector.enabled or self.counter_health.is_silent(self.now_ns):
-            beat = self.partition_detector.next_heartbeat(self.now_ns)
-            self.last_call_id = call = self.last_call_id + 1
+            heartbeat = self.partition_detector.next_heartbeat(self.now_ns)
+            self.last_call_id = call_id = self.last_call_id + 1
             self.heartbeats = {
-                call: beat,
-                **{old: b for old, b in self.heartbeats.items() if b is self.partition_detector.pending},
+                call_id: heartbeat,
+                **{
+                    other_id: other
+                    for other_id, other in self.heartbeats.items()
+                    if other is self.partition_detector.pending
+                },
             }
-            self.actions.append(api.Count(beat.key, beat.amount, 2 * EPOCH_NS, call))
+            self.actions.append(api.Count(heartbeat.key, heartbeat.amount, 2 * EPOCH_NS, call_id))
         if self.settings.may_message_peers and self.partition_detector.enabled:
             self.actions += [
-                api.Tell(other, HEARTBEAT_PAYLOAD) for other in self.partition_detector.recipients()
+                api.Tell(peer, HEARTBEAT_PAYLOAD) for peer in self.partition_detector.recipients()
             ]
         if self.counter_health.update_state(self.now_ns, bool(self.partition_detector.split)):
             self.actions.append(api.Log(self.report().to_log_line()))
 
     def start_resync(self) -> None:
-        """After silence or a replacement: what the counter does not know of this limiter's customers."""
-        teaching = bool(self.unsynced)
-        lately = [
-            c
-            for c in self.accounts.values()
-            if c.has_reported_in_window(self.now_ns) or c.unreported >= c.min_report_units
+        """Collect the accounts that the counter may not know after a silence or a replacement."""
+        resyncing = bool(self.unsynced)
+        reported = [
+            account
+            for account in self.accounts.values()
+            if account.has_reported_in_window(self.now_ns) or account.unreported >= account.min_report_units
         ]
-        self.unsynced = lately[-MAX_RESYNCED_ACCOUNTS:]
-        if not teaching:
+        self.unsynced = reported[-MAX_RESYNCED_ACCOUNTS:]
+        if not resyncing:
             self.resync_next()
 
     def resync_next(self) -> None:
-        """Tell a counter that began again what it has lost, the customers of last use first.
+        """Report one account to a counter that lost its state, the most recently used first.
 
-        At the pace of calls and at most one a gap: guards against recovery flooding what it is to save."""
+        At most one call is made per interval of the call pacing, so that recovery does not overload the
+        counter."""
         if not self.unsynced:
             return
-        customer = self.unsynced.pop()
-        news = (
-            customer.answered_ns < self.counter_health.replaced_ns
-            or customer.unreported >= customer.min_report_units
+        account = self.unsynced.pop()
+        is_unsynced = (
+            account.answered_ns < self.counter_health.replaced_ns
+            or account.unreported >= account.min_report_units
         )
-        if news and not customer.open_calls and self.may_call_counter(1.0):
-            self.call_counter(customer, -1, 0.0)
+        if is_unsynced and not account.open_calls and self.may_call_counter(1.0):
+            self.call_counter(account, -1, 0.0)
         self.set_timer(self.call_pacer.interval_ns * self.random.uniform(1, 2), self.resync_next, True)
 
-    def on_counter_result(self, heard: bool) -> None:
-        back = heard and self.counter_health.is_silent(self.now_ns)
-        self.counter_health.on_result(self.now_ns, heard)
-        if back:
+    def on_counter_result(self, answered: bool) -> None:
+        """Update the state of the counter after a call; start to resync when it has recovered."""
+        recovered = answered and self.counter_health.is_silent(self.now_ns)
+        self.counter_health.on_result(self.now_ns, answered)
+        if recovered:
             self.call_pacer.on_recovered(self.now_ns)
             self.start_resync()
 
@@ -300,109 +345,121 @@
             self.exhausted_quotas.on_message(self.now_ns, event.payload)
 
     def report(self) -> api.CounterReport:
-        """The state of the counter, since when, and the bound on the overrun of each plan's customers."""
-        told = bounds(self.settings, self.limiters, self.counter_health)
+        """The state of the counter and the bound on the overrun of each plan's customers."""
+        bound_units = bounds(self.settings, self.limiters, self.counter_health)
         return api.CounterReport(
             self.counter_health.state,
             self.counter_health.since_ns,
-            told,
+            bound_units,
             tuple(sorted(self.partition_detector.split)),
         )
 
-    def announce_exhausted(self, work: PendingRequest) -> None:
-        """Tell the others of a large set that the counter refused what their slices cannot hold either."""
-        rank = work.plan.rate * work.plan.price / max(p.rate * p.price for p in self.settings.plans)
-        customer = work.account
-        if customer.set_size <= GROUP or customer.bucket.max_permits >= work.units or customer.balance >= 1:
+    def announce_exhausted(self, pending: PendingRequest) -> None:
+        """Notify the other limiters of a large set that a customer's quota is exhausted.
+
+        Their slices are smaller than one request as well, so each of them would overdraw its slice."""
+        value_rank = (
+            pending.plan.rate * pending.plan.price / max(p.rate * p.price for p in self.settings.plans)
+        )
+        account = pending.account
+        if account.set_size <= GROUP or account.bucket.max_permits >= pending.units or account.balance >= 1:
             return
-        if word := self.exhausted_quotas.on_refused(self.now_ns, customer.name, rank):
-            self.actions.append(api.Tell(None, word))
+        if payload := self.exhausted_quotas.on_refused(self.now_ns, account.name, value_rank):
+            self.actions.append(api.Tell(None, payload))
 
     def on_counted(self, event: api.Counted) -> None:
-        if beat := self.heartbeats.pop(event.call_id, None):
-            heard = event.outcome is Outcome.OK and math.isfinite(event.total)
-            self.on_counter_result(heard)
-            if heard and self.partition_detector.on_answer(self.now_ns, beat, event.total):
+        if heartbeat := self.heartbeats.pop(event.call_id, None):
+            answered = event.outcome is Outcome.OK and math.isfinite(event.total)
+            self.on_counter_result(answered)
+            if answered and self.partition_detector.on_answer(self.now_ns, heartbeat, event.total):
                 self.counter_health.replaced_ns = self.now_ns
                 self.start_resync()
             elif event.outcome in NEVER_EXECUTED:
-                self.partition_detector.on_rejected(beat)
+                self.partition_detector.on_rejected(heartbeat)
             return
-        if (question := self.counter_calls.pop(event.call_id, None)) is None:
+        if (counter_call := self.counter_calls.pop(event.call_id, None)) is None:
             return
-        customer, work = question.account, self.pending.get(question.request_id)
-        heard = event.outcome is Outcome.OK and math.isfinite(event.total)
-        waits = work is not None and work.awaiting_counter and question.status is CallStatus.IN_FLIGHT
-        doubted, handed = bool(customer.uncertain_calls), customer.carried_over
-        if question.status is CallStatus.IN_FLIGHT:
+        account, pending = counter_call.account, self.pending.get(counter_call.request_id)
+        answered = event.outcome is Outcome.OK and math.isfinite(event.total)
+        waiting = (
+            pending is not None and pending.awaiting_counter and counter_call.status is CallStatus.IN_FLIGHT
+        )
+        had_uncertain, carried_over = bool(account.uncertain_calls), account.carried_over
+        if counter_call.status is CallStatus.IN_FLIGHT:
             self.call_pacer.on_result(event.outcome is Outcome.OK)
-            self.on_counter_result(heard)
-        if heard and customer.on_answer(self.now_ns, question, event.total):
-            if work and waits:
-                work.charged_units, work.charged_to_slice, waits = question.units, False, False
-                self.send_first_attempt(work)
+            self.on_counter_result(answered)
+        if answered and account.on_answer(self.now_ns, counter_call, event.total):
+            if pending and waiting:
+                pending.charged_units, pending.charged_to_slice, waiting = counter_call.units, False, False
+                self.send_first_attempt(pending)
             else:
-                customer.refund(self.now_ns, question.units, False)  # the client has gone meanwhile
+                # The client disconnected in the meantime.
+                account.refund(self.now_ns, counter_call.units, False)
         elif event.outcome in NEVER_EXECUTED:
-            customer.on_rejected(question)
-        elif not heard and question.status is CallStatus.IN_FLIGHT:
-            customer.on_timeout(self.now_ns, question)
-            self.counter_calls[event.call_id] = question  # its answer may come late
+            account.on_rejected(counter_call)
+        elif not answered and counter_call.status is CallStatus.IN_FLIGHT:
+            account.on_timeout(self.now_ns, counter_call)
+            self.counter_calls[event.call_id] = counter_call  # Its answer may come late.
             oldest = next(iter(self.counter_calls))
             if (
                 len(self.counter_calls) > MAX_LATE_CALLS
                 and self.counter_calls[oldest].status is not CallStatus.IN_FLIGHT
             ):
                 del self.counter_calls[oldest]
-        elif heard and work and question.status is CallStatus.RESOLVED and self.settings.may_message_peers:
-            self.announce_exhausted(work)
-        # Guards against ending with a debt untold that the others take for handed on.
-        doubted = doubted or customer.carried_over > handed
-        again = customer.has_refund_to_report() or (doubted and customer.is_report_due())
-        if heard and again and self.may_call_counter(1.0):
-            self.call_counter(customer, -1, 0.0)
-        if work and waits:
-            self.wait_or_refuse(work)
-
-    def wait_or_refuse(self, work: PendingRequest) -> None:
-        """Without a grant: wait for the ticket if deadline and aim allow, else refuse at once."""
-        customer, work.awaiting_counter = work.account, False
-        if work.plan.over_quota_value > work.plan.over_quota_cost and not self.over_limit(
-            work, LOWEST_VALUE_LIMIT_SHARE
+        elif (
+            answered
+            and pending
+            and counter_call.status is CallStatus.RESOLVED
+            and self.settings.may_message_peers
         ):
-            return self.send_first_attempt(
-                work
-            )  # beyond the quota it earns more than it costs, and there is room
-        customer.bucket.resync(self.now_ns)
-        wait_ns = customer.bucket.next_free_ticket_ns - self.now_ns
-        if customer.total is not None and not self.counter_health.is_silent(self.now_ns):
-            short = work.units - customer.refill(self.now_ns)
-            wait_ns = max(wait_ns, round(short / customer.rate * SECOND_NS))
-        if customer.bucket.max_permits < work.units and not self.counter_health.is_silent(self.now_ns):
-            wait_ns = max(wait_ns, self.exhausted_quotas.remaining_ns(self.now_ns, customer.name))
-        if wait_ns > MAX_QUOTA_WAIT_SHARE * (work.target_at_ns - self.now_ns):
-            return self.refuse(work, wait_ns)
-        self.charge(work)  # told now, so that nobody grants it meanwhile
-        self.set_timer(wait_ns, self.send_first_attempt, work)
-
-    def refuse(self, work: PendingRequest, wait_ns: int) -> None:
-        """The final answer without success: a refusal only where a repeat is harmless."""
-        request_id, kind = work.request.request_id, work.traffic_class
+            self.announce_exhausted(pending)
+        # A debt that was carried over must be reported, since the other limiters rely on it.
+        had_uncertain = had_uncertain or account.carried_over > carried_over
+        report_again = account.has_refund_to_report() or (had_uncertain and account.is_report_due())
+        if answered and report_again and self.may_call_counter(1.0):
+            self.call_counter(account, -1, 0.0)
+        if pending and waiting:
+            self.wait_or_refuse(pending)
+
+    def wait_or_refuse(self, pending: PendingRequest) -> None:
+        """Without a grant: wait for the next permit if the latency target allows it, else refuse."""
+        account, pending.awaiting_counter = pending.account, False
+        if pending.plan.over_quota_value > pending.plan.over_quota_cost and not self.over_limit(
+            pending, LOWEST_VALUE_LIMIT_SHARE
+        ):
+            # Beyond the quota it earns more than it costs, and there is capacity.
+            return self.send_first_attempt(pending)
+        account.bucket.resync(self.now_ns)
+        wait_ns = account.bucket.next_free_ticket_ns - self.now_ns
+        if account.total is not None and not self.counter_health.is_silent(self.now_ns):
+            missing_units = pending.units - account.refill(self.now_ns)
+            wait_ns = max(wait_ns, round(missing_units / account.rate * SECOND_NS))
+        if account.bucket.max_permits < pending.units and not self.counter_health.is_silent(self.now_ns):
+            wait_ns = max(wait_ns, self.exhausted_quotas.remaining_ns(self.now_ns, account.name))
+        if wait_ns > MAX_QUOTA_WAIT_SHARE * (pending.target_at_ns - self.now_ns):
+            return self.refuse(pending, wait_ns)
+        self.charge(pending)  # charged now, so that the units are not granted again meanwhile
+        self.set_timer(wait_ns, self.send_first_attempt, pending)
+
+    def refuse(self, pending: PendingRequest, wait_ns: int) -> None:
+        """Give the final answer without success: Refuse if repeating the request is harmless, else Fail."""
+        request_id, traffic_class = pending.request.request_id, pending.traffic_class
         del self.pending[request_id]
-        self.refund(work)
-        harmless = kind.idempotency is Idempotency.SAFE or (
-            kind.idempotency is Idempotency.KEYED and kind.dedup_scope is DedupScope.ALL
+        self.refund(pending)
+        harmless = traffic_class.idempotency is Idempotency.SAFE or (
+            traffic_class.idempotency is Idempotency.KEYED and traffic_class.dedup_scope is DedupScope.ALL
         )
-        refusable = harmless or not any(a.may_have_run for a in work.attempts)
-        advice_ns = (
+        may_refuse = harmless or not any(a.may_have_run for a in pending.attempts)
+        retry_after_ns = (
             min(max(0, wait_ns), self.settings.max_retry_after_ns)
             if self.settings.may_send_retry_after
             else 0
         )
-        self.actions.append(api.Refuse(request_id, advice_ns) if refusable else api.Fail(request_id))
+        self.actions.append(api.Refuse(request_id, retry_after_ns) if may_refuse else api.Fail(request_id))
 
     def on_server_list(self, event: api.ServerList) -> None:
-        if event.kind is ListKind.FAILED and self.settings.subscribe:  # fires without work: subscribe
+        if event.kind is ListKind.FAILED and self.settings.subscribe:
+            # A timer without a request subscribes again.
             self.set_timer(
                 self.settings.resubscribe_within_ns * RESUBSCRIBE_SHARE * self.random.uniform(1, 2),
                 self.retry,
@@ -410,32 +467,37 @@
         if event.kind is ListKind.CACHED and self.settings.subscribe:
             self.actions.append(api.Watch(True))
         apply_server_list(self.servers, event)
-        # Walked by each limiter from its own place: few servers each, equally many limiters at each.
-        order = sorted(self.servers, key=zlib.crc32)
-        first = self.settings.index * len(order) // self.limiters
-        around = (self.servers[key] for key in order[first:] + order[:first])
-        self.ring = [server for server in around if server.entry.trust]
+        # Each limiter walks the ring from its own offset, so that it uses few servers and every server is
+        # used by about as many limiters.
+        keys = sorted(self.servers, key=zlib.crc32)
+        start = self.settings.index * len(keys) // self.limiters
+        servers = (self.servers[key] for key in keys[start:] + keys[:start])
+        self.ring = [server for server in servers if server.entry.trust]
         self.concurrency_limit = (
             self.concurrency_limit or INITIAL_LIMIT_PER_SERVER * len(self.servers) / self.limiters
         )
 
     def capacity_share(self, server: Server) -> float:
-        """Slow start: the part of its capacity that a server is sure to have."""
+        """The share of its full capacity that a server has while it warms up (slow start)."""
         age = (self.now_ns - server.started_ns) / max(1, self.settings.warm_up_ns)
         if server.started_ns <= 0 or age >= 1:
             return 1.0
         return self.settings.cold_capacity_share + (1 - self.settings.cold_capacity_share) * max(0.0, age)
 
-    def over_limit(self, work: PendingRequest, part: float = 1.0) -> bool:
-        """Guards against congestive collapse, whatever its cause: is the limit spent, for this worth?"""
-        for kind, young in zip(self.settings.classes, self.recent_attempts, strict=True):
-            while young and young[0].sent_ns + LATE_TARGET_SHARE * kind.target_ns <= self.now_ns:
-                if (attempt := young.popleft()).in_flight:
+    def over_limit(self, pending: PendingRequest, limit_share: float = 1.0) -> bool:
+        """Whether the concurrency limit for a request of this value is reached; prevents congestion collapse.
+
+        Requests of a low value may use only a share of the limit."""
+        for traffic_class, attempts in zip(self.settings.classes, self.recent_attempts, strict=True):
+            while (
+                attempts and attempts[0].sent_ns + LATE_TARGET_SHARE * traffic_class.target_ns <= self.now_ns
+            ):
+                if (attempt := attempts.popleft()).in_flight:
                     self.adjust_limit(True, attempt.sent_ns)
         limit = (
             self.concurrency_limit
-            * part
-            * (LOWEST_VALUE_LIMIT_SHARE + (1 - LOWEST_VALUE_LIMIT_SHARE) * work.value_rank)
+            * limit_share
+            * (LOWEST_VALUE_LIMIT_SHARE + (1 - LOWEST_VALUE_LIMIT_SHARE) * pending.value_rank)
         )
         return (
             self.concurrency.mean(self.now_ns) >= limit
@@ -443,141 +505,159 @@
         )
 
     def adjust_limit(self, late: bool, sent_ns: int) -> None:
-        """Move the limit: up while it is used and answers are in time, down by a part when they are not."""
+        """Adapt the concurrency limit by additive increase and multiplicative decrease.
+
+        It grows with answers in time while it is in use, and shrinks when too many answers are late."""
         self.late_share += LATE_EWMA_WEIGHT * (late - self.late_share)
-        out = self.concurrency.mean(self.now_ns)
+        mean_in_flight = self.concurrency.mean(self.now_ns)
         if late and self.late_share > CONGESTION_LATE_SHARE and sent_ns > self.decreased_ns:
             self.concurrency_limit = max(
-                len(self.servers) / self.limiters, DECREASE_FACTOR * min(self.concurrency_limit, out)
+                len(self.servers) / self.limiters,
+                DECREASE_FACTOR * min(self.concurrency_limit, mean_in_flight),
             )
             self.decreased_ns, self.late_share = self.now_ns, CONGESTION_LATE_SHARE / 2
-        elif not late and out >= MIN_USE_TO_INCREASE * self.concurrency_limit:
+        elif not late and mean_in_flight >= MIN_USE_TO_INCREASE * self.concurrency_limit:
             self.concurrency_limit += min(INCREASE_PER_ANSWER, 1 / self.concurrency_limit)
 
     def pick_server(self, tried: list[Server], request: api.Request) -> Server | None:
-        """The least loaded by own outstanding work and recent slowness, over what it can take."""
-        best, best_cost, seen = None, math.inf, 0
-        spare, spare_cost = None, math.inf
-        safe = self.settings.classes[request.traffic_class].idempotency is Idempotency.SAFE
+        """The available server with the least load and latency, relative to its capacity."""
+        best, best_cost, candidates = None, math.inf, 0
+        fallback, fallback_cost = None, math.inf
+        is_safe = self.settings.classes[request.traffic_class].idempotency is Idempotency.SAFE
         self.ejected = {server for server in self.ejected if server.ejected_until_ns > self.now_ns}
-        trust = len(self.ejected) <= MAX_EJECTED_SHARE * len(self.servers)
+        ejection_enabled = len(self.ejected) <= MAX_EJECTED_SHARE * len(self.servers)
         for server in self.ring:
-            out = trust and (
+            ejected = ejection_enabled and (
                 server.ejected_until_ns > self.now_ns or (server.on_probation and server.in_flight)
             )
             full = server.full_until_ns.get((request.plan, request.traffic_class), 0) > self.now_ns
-            if server.entry.health is not Health.READY or server in tried or out or full:
+            if server.entry.health is not Health.READY or server in tried or ejected or full:
                 continue
-            # Guards against a burst, or a claim, on what may be no server or another one by now.
-            trusted = server.entry.trust
-            if trusted is not Trust.TOLD and (server.in_flight or (trusted is Trust.SAFE and not safe)):
+            # The address may be unused or belong to another server by now, so it gets one attempt at a time,
+            # and unsafe requests only if it is trusted enough.
+            trust = server.entry.trust
+            if trust is not Trust.TOLD and (server.in_flight or (trust is Trust.SAFE and not is_safe)):
                 continue
-            # Slow start of who may be cold: each answer makes room for one more, so its own speed sets the
-            # pace.
+            # Slow start of a server that may have restarted: each answer allows one more attempt in flight,
+            # so the server's own speed sets the pace.
             if server.entry.presumed_start_ns and len(server.in_flight) > server.answers:
                 continue
-            share = self.capacity_share(server)
+            capacity_share = self.capacity_share(server)
             weight = server.entry.weight if server.entry.weight > 0 else 1.0
             cost = (
                 (len(server.in_flight) + 1)
                 * server.slowness
-                / (weight * share)
+                / (weight * capacity_share)
                 * self.random.uniform(0.99, 1.01)
             )
-            if share < 1 and (
+            if capacity_share < 1 and (
                 self.now_ns < server.next_attempt_ns or (server.in_flight and not self.recent_answers)
             ):
-                if not server.in_flight and cost < spare_cost:
-                    spare, spare_cost = server, cost
+                if not server.in_flight and cost < fallback_cost:
+                    fallback, fallback_cost = server, cost
                 continue
             if cost < best_cost:
                 best, best_cost = server, cost
-            if (seen := seen + 1) >= MAX_CANDIDATES:
+            if (candidates := candidates + 1) >= MAX_CANDIDATES:
                 break
-        # Guards against a fleet that is cold, or may be, being asked by nobody: one attempt at a time goes at
-        # the server's own pace, however little that is.
-        return best or spare
-
-    def send_first_attempt(self, work: PendingRequest) -> None:
-        """The first attempt, within this limiter's part of a ceiling."""
-        ceiling, takes, work.awaiting_counter = (
-            work.account.ceiling,
-            work.request.mode is RequestMode.TAKE,
+        # If all servers are cold or may be, one attempt at a time is sent to an idle one. Otherwise no server
+        # would ever warm up.
+        return best or fallback
+
+    def send_first_attempt(self, pending: PendingRequest) -> None:
+        """Send the first attempt, or grant a take, if this limiter's share of the ceiling allows it."""
+        ceiling, is_take, pending.awaiting_counter = (
+            pending.account.ceiling,
+            pending.request.mode is RequestMode.TAKE,
             False,
         )
-        self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_RATIO * (not takes))
-        server = None if takes else self.pick_server([], work.request)
+        self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_RATIO * (not is_take))
+        server = None if is_take else self.pick_server([], pending.request)
         ceiling.resync(self.now_ns)
-        if ceiling.stored_permits < work.units or (server is None and not takes):
-            return self.refuse(work, work.traffic_class.target_ns)
-        ceiling.reserve(work.units)
+        if ceiling.stored_permits < pending.units or (server is None and not is_take):
+            return self.refuse(pending, pending.traffic_class.target_ns)
+        ceiling.reserve(pending.units)
         if server:
-            return self.start_attempt(work, server)
-        left = max(0.0, work.account.refill(self.now_ns)) if work.plan.rate > 0 else 1e15
-        del self.pending[work.request.request_id]
-        self.actions.append(api.QuotaAnswer(work.request.request_id, True, left, 0))
-
-    def start_attempt(self, work: PendingRequest, server: Server) -> None:
-        request_id, index, number = work.request.request_id, work.request.traffic_class, len(work.attempts)
-        share = self.capacity_share(server)
-        if share < 1 and self.recent_answers:
-            # Guards against pushing a cold server over: paced to its share of what a warm one answered.
+            return self.start_attempt(pending, server)
+        remaining = max(0.0, pending.account.refill(self.now_ns)) if pending.plan.rate > 0 else 1e15
+        del self.pending[pending.request.request_id]
+        self.actions.append(api.QuotaAnswer(pending.request.request_id, True, remaining, 0))
+
+    def start_attempt(self, pending: PendingRequest, server: Server) -> None:
+        """Send an attempt to a server and record it as in flight."""
+        request_id, class_index, number = (
+            pending.request.request_id,
+            pending.request.traffic_class,
+            len(pending.attempts),
+        )
+        capacity_share = self.capacity_share(server)
+        if capacity_share < 1 and self.recent_answers:
+            # A cold server would be overloaded by the rate of a warm one, so it gets only its share of that
+            # rate.
             rate = (
                 self.recent_answers
                 * SECOND_NS
                 / self.settings.warm_up_ns
                 / min(MAX_CANDIDATES, len(self.servers))
             )
-            pace_ns = SECOND_NS / max(rate * share * self.settings.overload_multiple * COLD_PACE_SHARE, 0.01)
-            server.next_attempt_ns = max(server.next_attempt_ns, self.now_ns) + round(pace_ns)
-        attempt = Attempt(server, work.account, index, work.request.plan, work.units, self.now_ns)
+            interval_ns = SECOND_NS / max(
+                rate * capacity_share * self.settings.overload_multiple * COLD_PACE_SHARE, 0.01
+            )
+            server.next_attempt_ns = max(server.next_attempt_ns, self.now_ns) + round(interval_ns)
+        attempt = Attempt(
+            server, pending.account, class_index, pending.request.plan, pending.units, self.now_ns
+        )
         self.concurrency.add(self.now_ns, 1)
         self.in_flight[(request_id, number)] = server.in_flight[(request_id, number)] = attempt
-        work.attempts.append(attempt)
-        self.recent_attempts[index].append(attempt)
-        work.account.open_attempts += 1
-        # Guards against a request waiting for its life at an address where nobody may be: it has time for
-        # another.
-        doubted = server.entry.trust is not Trust.TOLD and work.traffic_class.idempotency is Idempotency.SAFE
-        until_ns = (
-            self.now_ns + round(UNPROVEN_TIMEOUT_SHARE * work.traffic_class.target_ns) if doubted else 0
+        pending.attempts.append(attempt)
+        self.recent_attempts[class_index].append(attempt)
+        pending.account.open_attempts += 1
+        # There may be no server at an unproven address, so the attempt is limited to leave time for another.
+        unproven = (
+            server.entry.trust is not Trust.TOLD and pending.traffic_class.idempotency is Idempotency.SAFE
+        )
+        deadline_ns = (
+            self.now_ns + round(UNPROVEN_TIMEOUT_SHARE * pending.traffic_class.target_ns) if unproven else 0
         )
-        self.actions.append(api.Send(request_id, server.entry.server, until_ns))
-
-    def retry(self, work: PendingRequest) -> bool:
-        """One more attempt, where class, budget and time allow; while busy, none: it displaces another."""
-        kind, ran = work.traffic_class, [a for a in work.attempts if a.may_have_run]
-        dropped_ns = (
-            kind.dedup_window_ns
-            if kind.idempotency is Idempotency.KEYED and kind.dedup_scope is DedupScope.ALL
+        self.actions.append(api.Send(request_id, server.entry.server, deadline_ns))
+
+    def retry(self, pending: PendingRequest) -> bool:
+        """Start another attempt if class, retry budget and latency target allow it; return whether it
+        started.
+
+        Under load there are no retries, since each would displace another request."""
+        traffic_class, executed = pending.traffic_class, [a for a in pending.attempts if a.may_have_run]
+        dedup_window_ns = (
+            traffic_class.dedup_window_ns
+            if traffic_class.idempotency is Idempotency.KEYED and traffic_class.dedup_scope is DedupScope.ALL
             else 0
         )
-        twice = kind.idempotency is not Idempotency.SAFE and any(
-            self.now_ns >= a.sent_ns + dropped_ns for a in ran
+        may_run_twice = traffic_class.idempotency is not Idempotency.SAFE and any(
+            self.now_ns >= a.sent_ns + dedup_window_ns for a in executed
         )
-        late = self.now_ns >= work.target_at_ns and not kind.late_value
-        spent = len(work.attempts) >= self.settings.max_attempts or self.retry_tokens < 1
-        server = self.pick_server([a.server for a in work.attempts], work.request)
+        late = self.now_ns >= pending.target_at_ns and not traffic_class.late_value
+        exhausted = len(pending.attempts) >= self.settings.max_attempts or self.retry_tokens < 1
+        server = self.pick_server([a.server for a in pending.attempts], pending.request)
         if (
             late
-            or spent
-            or twice
+            or exhausted
+            or may_run_twice
             or server is None
             or self.concurrency.mean(self.now_ns) >= LOWEST_VALUE_LIMIT_SHARE * self.concurrency_limit
         ):
             return False
         self.retry_tokens -= 1
-        self.start_attempt(work, server)
+        self.start_attempt(pending, server)
         return True
 
     def finish(self, event: api.HungUp | api.StreamBegun | api.AttemptEnded) -> None:
-        """The request is over: forget it and wait for none of its other attempts."""
-        work = self.pending.pop(event.request_id, None)
-        if work:
-            self.refund(work)
-        own = None if isinstance(event, api.HungUp) else event.attempt
-        for number, attempt in enumerate(work.attempts if work else ()):
-            if attempt.in_flight and number != own and self.settings.may_cancel:
+        """Remove a request that needs no answer any more, and cancel its other attempts."""
+        pending = self.pending.pop(event.request_id, None)
+        if pending:
+            self.refund(pending)
+        ended_attempt = None if isinstance(event, api.HungUp) else event.attempt
+        for number, attempt in enumerate(pending.attempts if pending else ()):
+            if attempt.in_flight and number != ended_attempt and self.settings.may_cancel:
                 self.actions.append(api.Cancel(event.request_id, number))
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
@@ -587,35 +667,38 @@
         attempt.in_flight, attempt.may_have_run = False, event.outcome not in NEVER_EXECUTED
         attempt.server.in_flight.pop((event.request_id, event.attempt), None)
         in_time = event.elapsed_ns <= LATE_TARGET_SHARE * self.settings.classes[attempt.class_index].target_ns
-        # Full says nothing of others: servers may turn one plan or class away though they have room.
+        # FULL is not counted: a server may reject one plan or class while it has capacity for others.
         if event.outcome is Outcome.OK and in_time:
             self.adjust_limit(False, attempt.sent_ns)
         self.record_outcome(attempt, event)
         attempt.account.open_attempts -= 1
-        if event.outcome is Outcome.OK and event.settled_units:  # bucket and count get the difference
-            more = event.settled_units - attempt.units
+        if event.outcome is Outcome.OK and event.settled_units:
+            # Charge the difference to the bucket and the counter.
+            difference = event.settled_units - attempt.units
             attempt.account.bucket.resync(self.now_ns)
-            attempt.account.bucket.reserve(more)
-            attempt.account.charge(self.now_ns, more)
-        work = self.pending.get(event.request_id)
+            attempt.account.bucket.reserve(difference)
+            attempt.account.charge(self.now_ns, difference)
+        pending = self.pending.get(event.request_id)
         if event.concluded or event.outcome is Outcome.OK:
             self.finish(event)
-        elif work is not None and not any(a.in_flight for a in work.attempts) and not self.retry(work):
-            self.refuse(work, 0)
+        elif (
+            pending is not None and not any(a.in_flight for a in pending.attempts) and not self.retry(pending)
+        ):
+            self.refuse(pending, 0)
 
     def record_outcome(self, attempt: Attempt, event: api.AttemptEnded) -> None:
-        """Learn from how an attempt ended; a failure is no fast answer, a slow one counts bounded."""
-        server, usual = attempt.server, self.unit_latency_ns[attempt.class_index]
+        """Update the statistics of a server. Failures do not count as fast answers; slowness is bounded."""
+        server, mean_ns = attempt.server, self.unit_latency_ns[attempt.class_index]
         if event.outcome is Outcome.OK:
-            took_ns = event.elapsed_ns / attempt.units
+            unit_ns = event.elapsed_ns / attempt.units
             self.unit_latency_ns[attempt.class_index] = (
-                usual + EWMA_WEIGHT * (took_ns - usual) if usual else took_ns
+                mean_ns + EWMA_WEIGHT * (unit_ns - mean_ns) if mean_ns else unit_ns
             )
-            ratio = min(took_ns / max(1.0, self.unit_latency_ns[attempt.class_index]), MAX_LATENCY_RATIO)
+            ratio = min(unit_ns / max(1.0, self.unit_latency_ns[attempt.class_index]), MAX_LATENCY_RATIO)
             server.slowness += EWMA_WEIGHT * (ratio - server.slowness)
-            passed = (self.now_ns - self.recent_answers_ns) / max(1, self.settings.warm_up_ns)
+            elapsed = (self.now_ns - self.recent_answers_ns) / max(1, self.settings.warm_up_ns)
             self.recent_answers, self.recent_answers_ns = (
-                self.recent_answers * math.exp(-passed) + 1,
+                self.recent_answers * math.exp(-elapsed) + 1,
                 self.now_ns,
             )
             server.consecutive_failures, server.on_probation, server.answers = 0, False, server.answers + 1
@@ -628,7 +711,7 @@
                 server.on_probation = True
                 self.ejected.add(server)
         elif event.outcome is Outcome.FULL:
-            aim_ns = self.settings.classes[attempt.class_index].target_ns
+            target_ns = self.settings.classes[attempt.class_index].target_ns
             server.full_until_ns[attempt.plan_index, attempt.class_index] = self.now_ns + round(
-                FULL_BACKOFF_TARGETS * aim_ns
+                FULL_BACKOFF_TARGETS * target_ns
             )
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -95,7 +95,9 @@
     for room in ("aniseshed", "hookport"):
         shutil.copytree(experiment.ROOT / room, build / room)
     policy = build / "aniseshed" / "policy.py"
-    policy.write_text(policy.read_text().replace("refused = full or", "refused = True or full or"))
+    policy.write_text(
+        policy.read_text().replace("full or self.over_limit(", "True or full or self.over_limit(")
+    )
     text = 'title = "b"\nplans = ["TINY"]\nseeds = [1, 1]\n[[factor]]\nname = "b"\nbuild = true\n'
     text += f'levels = ["{experiment.ROOT}", "{build}"]\n'
     told = experiment.load(str(written(tmp_path, text)))
