--- a/aniseshed/exhausted_quotas.py
+++ b/aniseshed/exhausted_quotas.py
@@ -1,7 +1,11 @@
-"""Word between limiters of customers that the counter has just refused (docs/design/full-fleet.md).
+"""Messages between limiters about customers whose quota the counter has just found exhausted.
 
-Each of hundreds sees such a customer now and then and finds its sliver of a slice full: without a call all
-let it in. Told, they leave it to the counter for a while. A word that is lost changes nothing."""
+Derivation: docs/design/full-fleet.md.
+
+Each of several hundred limiters sees such a customer only now and then and finds its small share of the quota
+still full, so without a counter call all of them would let it in.  A message makes them leave the customer to
+the counter for a while.  A lost message does no harm: things stay as they were without it.
+"""
 
 from __future__ import annotations
 
@@ -10,23 +14,26 @@
 from aniseshed.account import SmoothBursty
 from aniseshed.partition import NAME_BITS, SECOND_NS
 
-SPENT_NS = 6 * SECOND_NS  # for which a word holds: a burst of requests ends within five seconds
-TOLD_A_SECOND = 20.0  # words, by all limiters together: half of what one may take in
-WORDS_SAVED = 4.0  # by a quiet while; those of the plan that loses least wait until all of them are there
-MOST_KNOWN = 4096  # customers: more cannot be told of while a word holds
-SIZE = -(-NAME_BITS // 8)  # bytes of a customer's number
+SPENT_NS = 6 * SECOND_NS  # how long a message holds: a burst of requests ends within five seconds
+# Messages per second by all limiters together: half of what one of them may take in.
+TOLD_A_SECOND = 20.0
+# Messages that a quiet period saves up.  Those of the plan that loses least wait until all are available.
+WORDS_SAVED = 4.0
+# Customers remembered.  Within the lifetime of a message no more can be announced.
+MOST_KNOWN = 4096
+SIZE = -(-NAME_BITS // 8)  # bytes of a customer's number in a message
 KIND = b"S"
 
 
 @dataclass(slots=True)
 class ExhaustedQuotas:
-    """Which customers are known to be beyond their quotas.  Times in nanoseconds on the module's clock."""
+    """Customers known to be beyond their quotas.  Times are in nanoseconds on the limiter's clock."""
 
     message_tokens: SmoothBursty
-    expires_ns: dict[int, int] = field(default_factory=dict)  # in order of their ends
+    expires_ns: dict[int, int] = field(default_factory=dict)  # customer -> expiry, soonest first
 
     def remaining_ns(self, now_ns: int, customer: int) -> int:
-        """For how long a word about the customer still holds; 0 without one."""
+        """How long a message about the customer still holds; 0 if there is none."""
         return max(0, self.expires_ns.get(customer, 0) - now_ns)
 
     def record(self, now_ns: int, customer: int) -> None:
@@ -37,8 +44,12 @@
             del self.expires_ns[oldest]
 
     def on_refused(self, now_ns: int, customer: int, rank: float) -> bytes | None:
-        """The word that is due, if the others' last one is about to end; ``rank`` is what a second of the
-        customer's quota is worth beside the dearest plan's, from 0 to 1."""
+        """The counter refused the customer: the message to send, or None.
+
+        There is none while an earlier message holds for more than half its lifetime, or without a token.
+        ``rank`` is the value of one second of the customer's quota relative to the most valuable plan's, from
+        0 to 1.
+        """
         self.message_tokens.resync(now_ns)
         known = self.remaining_ns(now_ns, customer) > SPENT_NS / 2
         if known or self.message_tokens.stored_permits < 1 + (WORDS_SAVED - 1) * (1 - rank):
@@ -48,6 +59,6 @@
         return KIND + customer.to_bytes(SIZE, "big")
 
     def on_message(self, now_ns: int, payload: bytes) -> None:
-        """A word of another limiter; what is none is passed over."""
+        """Record another limiter's message; any other payload is ignored."""
         if len(payload) == 1 + SIZE and payload.startswith(KIND):
             self.record(now_ns, int.from_bytes(payload[1:], "big"))
--- a/tests/test_sequence_digits.py
+++ b/tests/test_sequence_digits.py
@@ -43,7 +43,7 @@
     assert {m.base for m in marks} == {4}
     digits = [0] * size
     for _ in range(3):
-        digits = [m.next_digit(digits[n], knows=n > 0) for n, m in enumerate(marks)]
+        digits = [m.next_digit(digits[n], known_before=n > 0) for n, m in enumerate(marks)]
         for here in range(1, size + 1):
             present = list(zip(marks, digits, strict=True))[:here]
             total = 5 * marks[0].quantum + sum(m.weight * digit for m, digit in present)
