--- a/benchmarks/limit_commands.py
+++ b/benchmarks/limit_commands.py
@@ -1,11 +1,11 @@
-"""CPU of limit commands beside a PING and a forwarded request, pipelined 32 deep on one connection.
+"""CPU time of limit commands compared with a PING and a forwarded request, 32 pipelined on one connection.
 
     python benchmarks/limit_commands.py [COMMANDS]
 
-Starts one limiter with limit commands on and a stub server in this process, sends ``COMMANDS`` (20,000) of
-each kind in turn, three rounds, and prints the limiter's own CPU a command in microseconds (user and system,
-psutil), the least of the rounds.  With the packages limits and throttled-py installed, their in-process takes
-stand beside them."""
+Starts one limiter with limit commands enabled and a stub server in this process, sends ``COMMANDS`` (20,000)
+of each kind in turn, three rounds, and prints the limiter process's CPU time per command in microseconds
+(user and system, from psutil), the minimum of the rounds. If the packages limits and throttled-py are
+installed, their in-process checks are measured too."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 from world import World, serve  # noqa: E402
 
-DEEP = 32
+PIPELINE_DEPTH = 32
 FIELDS = b"c=lookup,t=team,d=3000,units=1,spread=1,first=0"
 
 
-def pack(*words: bytes) -> bytes:
-    packed: bytes = hiredis.pack_command(words)  # type: ignore[arg-type,no-untyped-call]
+def pack(*args: bytes) -> bytes:
+    packed: bytes = hiredis.pack_command(args)  # type: ignore[arg-type,no-untyped-call]
     return packed
 
 
-def commands(kind: str, n: int) -> bytes:
+def encode_command(kind: str, n: int) -> bytes:
     customer = b"%016x" % (n % 100)
     if kind == "PING":
         return pack(b"PING")
@@ -43,25 +43,29 @@
     return pack(kind.encode(), customer, b"%s-%d" % (os.urandom(4).hex().encode(), n), FIELDS)
 
 
-async def spend(port: int, process: psutil.Process, kind: str, count: int) -> float:
-    """Microseconds of the limiter's CPU a command."""
+async def cpu_per_command_us(port: int, process: psutil.Process, kind: str, count: int) -> float:
+    """Send ``count`` commands and return the limiter's CPU time for each, in microseconds."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    batches = [b"".join(commands(kind, at + n) for n in range(DEEP)) for at in range(0, count, DEEP)]
+    batches = [
+        b"".join(encode_command(kind, at + n) for n in range(PIPELINE_DEPTH))
+        for at in range(0, count, PIPELINE_DEPTH)
+    ]
     parser = hiredis.Reader()
     before = process.cpu_times()
     for batch in batches:
         writer.write(batch)
-        left = DEEP
-        while left:
+        pending = PIPELINE_DEPTH
+        while pending:
             parser.feed(await reader.read(1 << 16))
             while parser.gets() is not False:
-                left -= 1
+                pending -= 1
     after = process.cpu_times()
     writer.close()
-    return (after.user + after.system - before.user - before.system) / (len(batches) * DEEP) * 1e6
+    return (after.user + after.system - before.user - before.system) / (len(batches) * PIPELINE_DEPTH) * 1e6
 
 
-def in_process() -> Iterator[tuple[str, Callable[[], object]]]:
+def in_process_limiters() -> Iterator[tuple[str, Callable[[], object]]]:
+    """Yield name and check function of each in-process limiter that is installed."""
     try:
         import limits
         from limits.storage import MemoryStorage
@@ -71,7 +75,7 @@
         item = limits.parse("1000000/second")
         yield "limits, fixed window, in process", lambda: strategy.hit(item, "key")
     except ImportError:
-        print("limits is not installed: left out", file=sys.stderr)
+        print("limits is not installed: skipped", file=sys.stderr)
     try:
         import throttled
 
@@ -81,7 +85,7 @@
         )  # fmt: skip
         yield "throttled-py, GCRA, in process", throttle.limit
     except ImportError:
-        print("throttled-py is not installed: left out", file=sys.stderr)
+        print("throttled-py is not installed: skipped", file=sys.stderr)
 
 
 async def main() -> None:
@@ -95,19 +99,21 @@
             assert world.process
             process = psutil.Process(world.process.pid)
             kinds = ("PING", "LIMIT.PEEK", "LIMIT.TAKE", "SVC.QUERY")
-            best = dict.fromkeys(kinds, float("inf"))
-            for number in range(3):
+            lowest_us = dict.fromkeys(kinds, float("inf"))
+            for round_index in range(3):
                 for kind in kinds:
-                    print(f"round {number + 1}: {kind}", file=sys.stderr)
-                    best[kind] = min(best[kind], await spend(world.port, process, kind, count))
-    print("| what | µs of CPU | PINGs |\n| --- | --- | --- |")
+                    print(f"round {round_index + 1}: {kind}", file=sys.stderr)
+                    lowest_us[kind] = min(
+                        lowest_us[kind], await cpu_per_command_us(world.port, process, kind, count)
+                    )
+    print("| command | CPU, µs | relative to PING |\n| --- | --- | --- |")
     for kind in kinds:
-        print(f"| {kind} | {best[kind]:.1f} | {best[kind] / best['PING']:.1f} |")
-    for name, call in in_process():
-        began = time.process_time()
+        print(f"| {kind} | {lowest_us[kind]:.1f} | {lowest_us[kind] / lowest_us['PING']:.1f} |")
+    for name, check in in_process_limiters():
+        started_s = time.process_time()
         for _ in range(count):
-            call()
-        print(f"| {name} | {(time.process_time() - began) / count * 1e6:.1f} | |")
+            check()
+        print(f"| {name} | {(time.process_time() - started_s) / count * 1e6:.1f} | |")
 
 
 if __name__ == "__main__":
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,1 +1,3 @@
+"""Makes the fixtures of hookport.rehearsal available to all tests."""
+
 pytest_plugins = ["hookport.rehearsal.fixtures"]
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The whole program as a process: start, serve, refuse, a server dying, SIGTERM."""
+"""The daemon as a process: startup, serving, refusals, a server failure, SIGTERM."""
 
 import asyncio
 import os
@@ -12,47 +12,49 @@
 from world import VALUE, Stub, World, query, saying, serve, soon, submit, until
 
 
-async def hold_orders(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
+async def hold_submits(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
     if words[0] == b"SVC.SUBMIT":
         await stub.release.wait()
     writer.write(VALUE)
 
 
-def test_a_life_from_start_to_sigterm(tmp_path: pathlib.Path) -> None:
+def test_a_process_from_start_to_sigterm(tmp_path: pathlib.Path) -> None:
+    """Each request gets one reply through refusals, a server failure and a shutdown with requests pending."""
+
     async def scenario() -> None:
         busy = saying(b"-BUSY\r\n")
-        async with World(hold_orders, hold_orders, count=busy, perSecond=0.01, storeSize=4.0) as world:
+        async with World(hold_submits, hold_submits, count=busy, perSecond=0.01, storeSize=4.0) as world:
             await world.spawn(tmp_path)
             assert world.process
             client = await world.client()
             assert await client.ask(b"PING") == b"PONG"
             assert await client.ask(*query(1)) == b"value"
-            # refused: the slice of four is spent, and what goes beyond it would wait for long
+            # refused: the limiter's share of four units is used up, and more would have to wait too long
             replies = [await client.ask(*query(n, customer=9)) for n in range(2, 12)]
             refused = [r for r in replies if isinstance(r, hiredis.ReplyError)]
             assert 4 <= len(replies) - len(refused) <= 5
             assert {str(r) for r in refused} == {"BUSY 1000"}
-            # a server dies with what it holds: that fails, as it may have run; others serve on
+            # a server fails with a request in flight: the request may have run, so it fails; others go on
             client.send(*submit(20))
             await until(lambda: any(s.commands and s.commands[-1][0] == b"SVC.SUBMIT" for s in world.stubs))
-            victim = next(s for s in world.stubs if s.commands and s.commands[-1][0] == b"SVC.SUBMIT")
-            victim.die()
+            failed_server = next(s for s in world.stubs if s.commands and s.commands[-1][0] == b"SVC.SUBMIT")
+            failed_server.die()
             assert str(await client.answer()) == "ERR failed"
             for n in range(30, 36):
                 assert await client.ask(*query(n, customer=n)) == b"value"
-            # SIGTERM: connections still come, what is held is answered, those between requests are closed
-            other = next(s for s in world.stubs if s is not victim)
+            # SIGTERM: new connections and pending requests are served, idle connections are closed
+            other_server = next(s for s in world.stubs if s is not failed_server)
             client.send(*submit(40))
-            await until(lambda: other.commands[-1][2] == b"%016x" % 40)
+            await until(lambda: other_server.commands[-1][2] == b"%016x" % 40)
             world.process.send_signal(signal.SIGTERM)
             assert world.process.stderr
             while b"shutting down" not in await soon(world.process.stderr.readline()):
                 pass
-            late = await world.client()
-            assert await late.ask(*query(41, customer=50)) == b"value"
+            late_client = await world.client()
+            assert await late_client.ask(*query(41, customer=50)) == b"value"
             with pytest.raises(EOFError):
-                await late.answer()
-            other.release.set()
+                await late_client.answer()
+            other_server.release.set()
             assert await client.answer() == b"value"
             with pytest.raises(EOFError):
                 await client.answer()
@@ -62,17 +64,19 @@
 
 
 @pytest.mark.parametrize("text", [None, "", "[]", "{}", '{"settings": {"lanes": [{}]}}', '{"settings": 3}'])
-def test_a_bad_configuration_ends_it_with_one_plain_line(tmp_path: pathlib.Path, text: str | None) -> None:
+def test_an_invalid_configuration_ends_the_process_with_a_one_line_error(
+    tmp_path: pathlib.Path, text: str | None
+) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
     environ = {**os.environ, "PROXY_CONFIG": str(path)}
-    done = subprocess.run([sys.executable, "-m", "hookport"], env=environ, capture_output=True, timeout=60)
-    assert done.returncode == 2
-    assert len(done.stderr.decode().splitlines()) == 1 and done.stderr.startswith(b"hookport: ")
+    result = subprocess.run([sys.executable, "-m", "hookport"], env=environ, capture_output=True, timeout=60)
+    assert result.returncode == 2
+    assert len(result.stderr.decode().splitlines()) == 1 and result.stderr.startswith(b"hookport: ")
 
 
-def test_many_connections_survive_sigterm_between_requests(tmp_path: pathlib.Path) -> None:
+def test_sigterm_closes_many_idle_connections_and_ends_the_process(tmp_path: pathlib.Path) -> None:
     async def scenario() -> None:
         async with World(serve) as world:
             await world.spawn(tmp_path)
