--- a/hookport/clients.py
+++ b/hookport/clients.py
@@ -13,7 +13,7 @@
 from hookport.config import Address
 
 if TYPE_CHECKING:
-    from hookport.limits import Front, Session
+    from hookport.limits import LimitCommands, Session
 
 log = logging.getLogger("hookport.clients")
 
@@ -141,7 +141,7 @@
             except resp.CommandError as error:
                 self.pending_replies.remove(answer)
                 self.reject_command(str(error))
-        elif (front := self.clients.front) and front.command(self, verb, words):
+        elif (front := self.clients.front) and front.handle_command(self, verb, words):
             pass
         elif verb == b"PING":
             self.send_reply(resp.PONG if len(words) == 1 else resp.error("wrong number of arguments"))
@@ -258,7 +258,7 @@
         self.closing = False
         self.done = asyncio.Event()
         self.server: asyncio.Server | None = None
-        self.front: Front | None = None  # answers commands of its own, where the options switch it on
+        self.front: LimitCommands | None = None  # answers commands of its own, where the options switch it on
 
     async def listen(self, address: Address) -> Address:
         """Start to accept; returns the address, with the port that a zero was made into."""
--- a/hookport/config.py
+++ b/hookport/config.py
@@ -24,13 +24,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Names:
+class NameIndex:
     """Maps names to their positions in the settings' lists, which the policy uses as indices."""
 
     classes: dict[bytes, int]
     plans: dict[bytes, int]
     zones: dict[str, int]
-    kinds: dict[str, int]
+    host_types: dict[str, int]
 
 
 @dataclass(slots=True, frozen=True)
@@ -46,7 +46,7 @@
     max_sockets: int
     server_idle_timeout_ns: int  # servers close a connection that has been idle this long
     known_list: dict[str, Any]  # the server list to start with, in discovery's JSON form
-    names: Names
+    names: NameIndex
     settings: api.Settings
     peer_listen: Address | None = None
     peers: tuple[Address, ...] = ()  # indexed by limiter, including this one
@@ -54,7 +54,7 @@
     options: Options | None = None  # None disables all optional features
 
 
-def address(text: object, setting: str) -> Address:
+def parse_address(text: object, setting: str) -> Address:
     """Parse ``host:port``; ``setting`` names the setting in the ConfigError raised for anything else."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not (port.isascii() and port.isdigit()) or int(port) > 65535:
@@ -74,15 +74,17 @@
         limits = document.get("limits", {})
         return Config(
             name=str(environ.get("PROXY_NAME") or document.get("name") or "hookport"),
-            listen=address(environ.get("PROXY_LISTEN") or document.get("listen"), "PROXY_LISTEN"),
-            discovery=address(environ.get("PROXY_DISCOVERY") or document.get("discovery"), "PROXY_DISCOVERY"),
-            counter=address(document["counter"], "counter") if settings.has_counter else None,
+            listen=parse_address(environ.get("PROXY_LISTEN") or document.get("listen"), "PROXY_LISTEN"),
+            discovery=parse_address(
+                environ.get("PROXY_DISCOVERY") or document.get("discovery"), "PROXY_DISCOVERY"
+            ),
+            counter=parse_address(document["counter"], "counter") if settings.has_counter else None,
             seed=int(str(document.get("seed", "0")), 16),
             memory_limit_bytes=int(float(limits.get("memory_mb", 192)) * (1 << 20)),
             max_sockets=int(limits.get("sockets", 1024)),
             server_idle_timeout_ns=int(raw_settings.get("bounds", {}).get("connIdle", 0)) or 10_000_000_000,
             known_list=document.get("known") or {"generation": 0, "reset": True, "instances": []},
-            names=Names(
+            names=NameIndex(
                 {lane["name"].encode(): n for n, lane in enumerate(raw_settings.get("lanes", ()))},
                 {tier["name"].encode(): n for n, tier in enumerate(raw_settings.get("tiersOfService", ()))},
                 {name: n for n, name in enumerate(raw_settings.get("zones", ()))},
@@ -117,7 +119,7 @@
     """Read the addresses for datagrams between limiters; empty unless the settings allow them."""
     if not settings.may_message_peers or not document.get("peer_listen"):
         return {}
-    peers = tuple(address(peer, f"peers[{n}]") for n, peer in enumerate(document.get("peers", ())))
+    peers = tuple(parse_address(peer, f"peers[{n}]") for n, peer in enumerate(document.get("peers", ())))
     for n, peer in enumerate(peers):
         if (first := peers.index(peer)) != n:
             log.warning("peers[%d] is the address of peers[%d]: the first is used", n, first)
@@ -127,9 +129,9 @@
         )
     broadcast = document.get("peers_all")
     return {
-        "peer_listen": address(document["peer_listen"], "peer_listen"),
+        "peer_listen": parse_address(document["peer_listen"], "peer_listen"),
         "peers": peers,
-        "peers_all": address(broadcast, "peers_all") if broadcast else None,
+        "peers_all": parse_address(broadcast, "peers_all") if broadcast else None,
     }
 
 
--- a/hookport/discovery.py
+++ b/hookport/discovery.py
@@ -13,52 +13,52 @@
 import h11
 
 from aniseshed.interface import Health, ListKind, ServerEntry, ServerList
-from hookport.config import Address, ConfigError, Names, address
+from hookport.config import Address, ConfigError, NameIndex, parse_address
 
 log = logging.getLogger("hookport.discovery")
 
-SILENCE_S = 5.0  # an empty line comes every 2 s: a watch that misses two is dead
+SILENCE_TIMEOUT_S = 5.0  # an empty line comes every 2 s: a watch that misses two is dead
 AGAIN_S = (0.1, 2.0)  # wait before the next watch, doubled at each failure in a row
 LONGEST_LINE = 8 << 20  # bytes, also of an object that comes on several lines
 MOST_WRONG = 1024  # different complaints about entries that are told: each once
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
-HEALTHS = {"SERVING": Health.READY, "DRAINING": Health.DRAINING, "DELETED": Health.GONE}
+HEALTH_BY_LIFECYCLE = {"SERVING": Health.READY, "DRAINING": Health.DRAINING, "DELETED": Health.GONE}
 
 Told = Callable[[ServerList, dict[bytes, Address]], None]
 
 
-def read_entry(
-    told: dict[str, Any], names: Names, wrong: Callable[[str], None] = log.warning
+def parse_entry(
+    told: dict[str, Any], names: NameIndex, wrong: Callable[[str], None] = log.warning
 ) -> tuple[ServerEntry, Address]:
     """One entry; raises ValueError, KeyError or the like on what cannot be used at all."""
     server = told["instanceId"].encode()
     weight = float(told.get("weight", 1.0))
     if not 0 < weight < math.inf:
         wrong(f"server {told['instanceId']} has weight {weight}: taken as 1")
-    if told["lifecycle"] not in HEALTHS:
+    if told["lifecycle"] not in HEALTH_BY_LIFECYCLE:
         raise ValueError(f"unknown lifecycle {told['lifecycle']!r}")
     entry = ServerEntry(
         server=server,
         zone=names.zones.get(told.get("zone", ""), 0),
-        kind=names.kinds.get(told.get("machineType", ""), 0),
+        kind=names.host_types.get(told.get("machineType", ""), 0),
         cell=int(told.get("cell", 0)),
-        health=HEALTHS[told["lifecycle"]],
+        health=HEALTH_BY_LIFECYCLE[told["lifecycle"]],
         weight=weight if 0 < weight < math.inf else 1.0,
         started_ns=int(told.get("startedAtMs", 0)) * 1_000_000,
     )
-    return entry, address(told.get("hostPort"), "hostPort")
+    return entry, parse_address(told.get("hostPort"), "hostPort")
 
 
-def read_rows(
-    told: list[Any], names: Names, wrong: Callable[[str], None]
+def parse_entries(
+    told: list[Any], names: NameIndex, wrong: Callable[[str], None]
 ) -> dict[bytes, tuple[ServerEntry, Address]]:
     """The entries that can be used, by server; each of the others is told to ``wrong`` with its place."""
     rows = dict[bytes, tuple[ServerEntry, Address]]()
     serving = dict[Address, ServerEntry]()
     for place, row in enumerate(told):
         try:
-            entry, at = read_entry(row, names, wrong)
+            entry, at = parse_entry(row, names, wrong)
         except (ConfigError, ValueError, TypeError, KeyError, AttributeError, OverflowError) as error:
             wrong(f"instances[{place}] is left out: {type(error).__name__}: {error}")
             continue
@@ -76,8 +76,8 @@
     return rows
 
 
-def read_list(
-    told: Any, names: Names, whole: ListKind, wrong: Callable[[str], None] = log.warning
+def parse_list(
+    told: Any, names: NameIndex, whole: ListKind, wrong: Callable[[str], None] = log.warning
 ) -> tuple[int, ServerList, dict[bytes, Address]]:
     """A version, its list and the addresses; raises ValueError on what is no list.
 
@@ -88,7 +88,7 @@
             raise TypeError("instances is no list")
     except (ValueError, TypeError, KeyError) as error:
         raise ValueError(f"no list of servers: {type(error).__name__}: {error}") from error
-    rows = read_rows(instances, names, wrong)
+    rows = parse_entries(instances, names, wrong)
     places = {server: place for server, (_, place) in rows.items()}
     entries = tuple(entry for entry, _ in rows.values())
     return generation, ServerList(whole if reset else ListKind.DELTA, entries), places
@@ -152,19 +152,19 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        place: Address,
-        names: Names,
+        address: Address,
+        names: NameIndex,
         told: Told,
         connect_timeout_s: float,
         follow: bool,
         alive: Callable[[], None] | None = None,
-        spread: Callable[[float], float] = float,
+        jitter: Callable[[float], float] = float,
     ) -> None:
-        self.loop, self.place, self.names, self.told = loop, place, names, told
+        self.loop, self.address, self.names, self.told = loop, address, names, told
         self.connect_timeout_s = connect_timeout_s
         self.follow = follow  # whether a watch that ended is opened again unasked
-        self.alive, self.spread = alive, spread  # told of every line; makes waits differ between limiters
-        self.heard_s = 0.0  # when the watch last spoke
+        self.alive, self.jitter = alive, jitter  # told of every line; makes waits differ between limiters
+        self.last_line_s = 0.0  # when the watch last spoke
         self.complaints = set[str]()
         self.generation = 0
         self.watch: Watch | None = None
@@ -172,17 +172,17 @@
         self.timer: asyncio.TimerHandle | None = None
         self.again_s = AGAIN_S[0]
 
-    def start(self, known: dict[str, Any], whole: bool = False) -> None:
+    def start(self, known: dict[str, Any], full_list: bool = False) -> None:
         """Begin with the list from the configuration, which may be old.
 
-        The watch then asks for what changed after it, or for the ``whole`` list."""
+        The watch then asks for what changed after it, or for the full list."""
         try:
-            self.generation, listed, places = read_list(known, self.names, ListKind.CACHED, self.wrong)
+            self.generation, listed, places = parse_list(known, self.names, ListKind.CACHED, self.wrong)
         except ValueError as error:
             log.warning("the known list cannot be used: %s", error)
             listed, places = ServerList(ListKind.CACHED, ()), {}
         self.told(ServerList(ListKind.CACHED, listed.entries), places)
-        if whole:
+        if full_list:
             self.generation = 0
         if self.follow:
             self.subscribe(True)
@@ -193,13 +193,13 @@
             self.complaints.add(complaint)
             log.warning("the list of servers: %s", complaint)
 
-    def move(self, place: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """A new configuration: what is known stays in force until the new place tells its whole list."""
-        if place == self.place:
+        if address == self.address:
             return
-        log.info("moving from %s:%d to %s:%d", *self.place, *place)
+        log.info("moving from %s:%d to %s:%d", *self.address, *address)
         wanted = self.follow or self.watch is not None
-        self.place, self.again_s = place, AGAIN_S[0]
+        self.address, self.again_s = address, AGAIN_S[0]
         self.generation = 0  # the new place may count its versions in another way
         if wanted:
             self.subscribe(True)
@@ -210,12 +210,12 @@
             self.opening = self.loop.create_task(self.open())
 
     async def open(self) -> None:
-        host = f"{self.place[0]}:{self.place[1]}"
+        host = f"{self.address[0]}:{self.address[1]}"
         watch = Watch(host, self.generation, self.line, lambda: self.lost(watch))
         self.watch = watch
         try:
             async with asyncio.timeout(self.connect_timeout_s):
-                await self.loop.create_connection(lambda: watch, *self.place)
+                await self.loop.create_connection(lambda: watch, *self.address)
         except (OSError, TimeoutError) as error:
             log.warning("no connection: %s", error or "timed out")
             return self.lost(watch)
@@ -225,7 +225,7 @@
         """Guards against a watch that is silent, which looks like a list that does not change."""
         if self.timer:
             self.timer.cancel()
-        self.timer = self.loop.call_later(SILENCE_S, self.silent)
+        self.timer = self.loop.call_later(SILENCE_TIMEOUT_S, self.silent)
 
     def silent(self) -> None:
         log.warning("the watch is silent")
@@ -234,7 +234,7 @@
 
     def line(self, line: bytes) -> None:
         self.heard()
-        self.heard_s, self.again_s = self.loop.time(), AGAIN_S[0]
+        self.last_line_s, self.again_s = self.loop.time(), AGAIN_S[0]
         if line:
             generation, listed, places = self.read(line)
             self.generation = generation
@@ -244,7 +244,7 @@
 
     def read(self, line: bytes) -> tuple[int, ServerList, dict[bytes, Address]]:
         try:
-            return read_list(json.loads(line), self.names, ListKind.FULL, self.wrong)
+            return parse_list(json.loads(line), self.names, ListKind.FULL, self.wrong)
         except ValueError:
             self.generation = 0  # what changed may be lost: the next watch begins with the whole list
             raise
@@ -256,7 +256,7 @@
             self.generation = 0  # what broke off may be lost: the next watch begins with the whole list
         self.close()
         if self.follow:
-            self.timer = self.loop.call_later(self.spread(self.again_s), self.subscribe, True)
+            self.timer = self.loop.call_later(self.jitter(self.again_s), self.subscribe, True)
             self.again_s = min(2 * self.again_s, AGAIN_S[1])
         self.told(ServerList(ListKind.FAILED, ()), {})
 
--- a/hookport/limits/front.py
+++ b/hookport/limits/commands.py
@@ -22,7 +22,7 @@
 from aniseshed import interface as api
 from hookport import resp
 from hookport.clients import Connection, PendingReply
-from hookport.limits.ledger import Key, Ledger, Taken
+from hookport.limits.ledger import Key, Ledger, TakeRecord
 from hookport.limits.session import NOAUTH, Session
 from hookport.limits.users import Users
 from hookport.options import Limits
@@ -49,12 +49,12 @@
 
     units: float
     key: Key | None  # None: a peek, which nobody remembers
-    taken: Taken | None
+    taken: TakeRecord | None
     answers: list[PendingReply] = field(default_factory=list)
     timer: asyncio.TimerHandle | None = None
 
 
-class Front:
+class LimitCommands:
     """The commands of all connections."""
 
     def __init__(
@@ -79,7 +79,7 @@
         self.pending: dict[int, Pending] = {}
         self.numbers = itertools.count(1)
 
-    def command(self, connection: Connection, verb: bytes, words: Sequence[object]) -> bool:
+    def handle_command(self, connection: Connection, verb: bytes, words: Sequence[object]) -> bool:
         """PendingReply a command; False if it is none of these."""
         session = connection.session
         if session is None:
@@ -135,9 +135,9 @@
         self.door.feed(command.to_event(request_id, patience_ns, ask))
         if request_id in self.pending:
             # Guards against a question that nobody ever answers.
-            pending.timer = self.loop.call_later(patience_ns / SECOND + SPARE_S, self.forgotten, request_id)
+            pending.timer = self.loop.call_later(patience_ns / SECOND + SPARE_S, self.expire, request_id)
 
-    def repeat(self, connection: Connection, known: Taken, about: tuple[object, ...]) -> None:
+    def repeat(self, connection: Connection, known: TakeRecord, about: tuple[object, ...]) -> None:
         """The same id again: the same answer, when there is one."""
         if known.about != about:
             raise resp.CommandError("the id stands for another question")
@@ -165,7 +165,7 @@
 
     # From the module
 
-    def verdict(self, action: api.QuotaAnswer) -> None:
+    def on_quota_answer(self, action: api.QuotaAnswer) -> None:
         """What the module said to a question."""
         if pending := self.forget(action.request_id):
             wait_ms = -(-action.wait_ns // MS)
@@ -176,7 +176,7 @@
                 b"*3\r\n:%d\r\n:%d\r\n:%d\r\n" % (action.allowed, int(action.remaining_units), wait_ms),
             )
 
-    def refused(self, request_id: int, wait_ns: int) -> bool:
+    def on_refused(self, request_id: int, wait_ns: int) -> bool:
         """A refusal of the module; False if the request is none of these."""
         pending = self.forget(request_id)
         if pending:
@@ -199,7 +199,7 @@
         for answer in pending.answers:
             answer.complete(reply)
 
-    def forgotten(self, request_id: int) -> None:
+    def expire(self, request_id: int) -> None:
         """No answer of the module in time: nothing was taken, and the id is free."""
         if pending := self.forget(request_id):
             if pending.key:
@@ -208,7 +208,7 @@
             self.answer(pending, resp.error("timed out"))
             self.door.feed(api.HungUp(request_id))
 
-    def answer_all(self) -> None:
+    def expire_all(self) -> None:
         """Before the process may be killed: each question gets its answer."""
         for request_id in list(self.pending):
-            self.forgotten(request_id)
+            self.expire(request_id)
--- a/hookport/membership/command.py
+++ b/hookport/membership/command.py
@@ -10,13 +10,13 @@
 from collections.abc import Sequence
 
 from aniseshed.interface import Health, ListKind, ServerList
-from hookport.config import Names
+from hookport.config import NameIndex
 from hookport.membership import kept as form
 from hookport.membership.curve import SECOND_NS, TrustCurve
 from hookport.membership.files import Local
 from hookport.membership.fleet import FleetView
 
-NOBODY = Names({}, {}, {}, {})
+NOBODY = NameIndex({}, {}, {}, {})
 ALL_NS = 1 << 62
 
 
--- a/hookport/membership/files.py
+++ b/hookport/membership/files.py
@@ -12,7 +12,7 @@
 import os
 from typing import Protocol
 
-from hookport.config import Names
+from hookport.config import NameIndex
 from hookport.membership import kept as form
 from hookport.membership.fleet import Snapshot
 
@@ -73,7 +73,7 @@
         self.disk.rename(new, self.path)
         self.disk.sync_folder(self.path)
 
-    def load(self, names: Names, fleet: str) -> tuple[Snapshot | None, list[str]]:
+    def load(self, names: NameIndex, fleet: str) -> tuple[Snapshot | None, list[str]]:
         """The list, or its predecessor where it cannot be used, and what was found wrong, a line each."""
         wrong = list[str]()
         for path in (self.path, self.path + ".old"):
--- a/hookport/membership/kept.py
+++ b/hookport/membership/kept.py
@@ -16,24 +16,24 @@
 from typing import Any
 
 from aniseshed.interface import Health
-from hookport.config import Names
-from hookport.discovery import HEALTHS, read_entry
+from hookport.config import NameIndex
+from hookport.discovery import HEALTH_BY_LIFECYCLE, parse_entry
 from hookport.membership.fleet import MOST_GONE, MOST_SERVERS, Gone, Snapshot, SnapshotEntry
 
 VERSION = 1
 LARGEST = 16 << 20  # bytes of a file that is read at all
 HEAD = re.compile(rb"hookport-kept (\d{1,9}) ([0-9a-f]{8}) (\d{1,9})\n")
 LATEST_NS = 1 << 62
-STATES = {health: name for name, health in HEALTHS.items()}
+STATES = {health: name for name, health in HEALTH_BY_LIFECYCLE.items()}
 
 
 class KeptError(Exception):
     """A file that cannot be used; the text says why, and what would do."""
 
 
-def write(kept: Snapshot, names: Names) -> bytes:
+def write(kept: Snapshot, names: NameIndex) -> bytes:
     """The bytes of a list."""
-    zones, kinds = ({at: name for name, at in each.items()} for each in (names.zones, names.kinds))
+    zones, kinds = ({at: name for name, at in each.items()} for each in (names.zones, names.host_types))
     told = {
         "fleet": kept.fleet,
         "generation": kept.generation,
@@ -65,7 +65,7 @@
     }
 
 
-def read(data: bytes, names: Names) -> Snapshot:
+def read(data: bytes, names: NameIndex) -> Snapshot:
     """A list from its bytes; raises KeptError on whatever is not one whole list as it was written."""
     head = HEAD.match(data)
     if head is None:
@@ -94,8 +94,8 @@
         raise KeptError(f"it holds no list of servers: {type(error).__name__}: {error}") from error
 
 
-def held(told: dict[str, Any], names: Names) -> SnapshotEntry:
-    entry, place = read_entry(told, names)
+def held(told: dict[str, Any], names: NameIndex) -> SnapshotEntry:
+    entry, place = parse_entry(told, names)
     if entry.health is Health.GONE:
         raise ValueError(f"{entry.server!r:.40} is gone: only servers are listed")
     return SnapshotEntry(
--- a/hookport/membership/members.py
+++ b/hookport/membership/members.py
@@ -15,7 +15,7 @@
 from typing import Protocol
 
 from aniseshed.interface import ListKind, Outcome, ServerList, Trust
-from hookport.config import Address, Names
+from hookport.config import Address, NameIndex
 from hookport.membership import kept as form
 from hookport.membership import words
 from hookport.membership.curve import DEFAULT, SECOND_NS, TrustCurve, TrustPoint
@@ -45,7 +45,7 @@
     """What is asked of discovery."""
 
     generation: int
-    heard_s: float
+    last_line_s: float
 
 
 class MembershipManager:
@@ -56,7 +56,7 @@
         loop: asyncio.AbstractEventLoop,
         options: Membership,
         name: str,
-        names: Names,
+        names: NameIndex,
         fleet: str,
         index: int,
         limiters: int,
@@ -105,7 +105,7 @@
             self.out(self.fleet.start(now_ns, kept, told, places, generation))
             return self.turn()
         if told.kind is ListKind.FAILED:
-            silent_s = self.loop.time() - self.discovery.heard_s if self.discovery else 0.0
+            silent_s = self.loop.time() - self.discovery.last_line_s if self.discovery else 0.0
             self.out(self.fleet.lost(now_ns, now_ns - round(silent_s * SECOND_NS)))
             return self.door.apply_server_list(told, places)
         self.out(self.fleet.told(now_ns, generation, told, places))
--- a/hookport/node.py
+++ b/hookport/node.py
@@ -19,7 +19,7 @@
 from hookport.servers import Attempt, Servers, unread
 
 if TYPE_CHECKING:
-    from hookport.limits import Front
+    from hookport.limits import LimitCommands
     from hookport.membership import MembershipManager
     from hookport.peers import Peers
 
@@ -115,14 +115,16 @@
             api.Log: lambda action: log.info("%s", action.text),
         }
 
-    def take_asks(self) -> Front:
+    def take_asks(self) -> LimitCommands:
         """Limit commands, where the options switch them on."""
         from hookport import __version__
-        from hookport.limits import Front, Users  # only here: off, it costs nothing
+        from hookport.limits import LimitCommands, Users  # only here: off, it costs nothing
 
         assert self.config.options and self.config.options.limits
         options = self.config.options.limits
-        return Front(self.loop, options, self.grammar, self.settings, self, __version__, Users(options.users))
+        return LimitCommands(
+            self.loop, options, self.grammar, self.settings, self, __version__, Users(options.users)
+        )
 
     def believe(self) -> MembershipManager:
         """What stands between discovery and the module, where the options switch it on."""
@@ -139,7 +141,7 @@
     async def start(self) -> None:
         if self.peers and self.config.peer_listen:
             await self.peers.start(self.config.peer_listen)
-        self.discovery.start(self.config.known_list, whole=self.members is not None)
+        self.discovery.start(self.config.known_list, full_list=self.members is not None)
         if self.counter:
             self.counter.connect()
         host, port = await self.clients.listen(self.config.listen)
@@ -166,9 +168,9 @@
 
     def reconfigure(self, config: Config) -> None:
         """SIGHUP: go on with what is held, under new addresses; all else holds from start to exit."""
-        if self.members and config.discovery != self.discovery.place:
+        if self.members and config.discovery != self.discovery.address:
             self.members.change_discovery("{}:{}".format(*config.discovery))
-        self.discovery.move(config.discovery)
+        self.discovery.change_address(config.discovery)
         if self.counter and config.counter:
             self.counter.move(config.counter)
         if config.settings != self.settings or config.listen != self.config.listen:
@@ -189,7 +191,7 @@
             if request_id in self.open_requests:
                 self.overdue(request_id)
         if self.limit_commands:
-            self.limit_commands.answer_all()
+            self.limit_commands.expire_all()
 
     def now_ns(self) -> int:
         return self.monotonic_ns() + self.clock_ns
@@ -321,13 +323,13 @@
     # Other actions and facts
 
     def refuse(self, action: api.Refuse) -> None:
-        if self.limit_commands and self.limit_commands.refused(action.request_id, action.retry_after_ns):
+        if self.limit_commands and self.limit_commands.on_refused(action.request_id, action.retry_after_ns):
             return
         self.answer(action.request_id, resp.busy(action.retry_after_ns))
 
     def verdict(self, action: api.QuotaAnswer) -> None:
         if self.limit_commands:
-            self.limit_commands.verdict(action)
+            self.limit_commands.on_quota_answer(action)
 
     def fail(self, action: api.Fail) -> None:
         self.answer(action.request_id, resp.error("failed"))
--- a/hookport/resp.py
+++ b/hookport/resp.py
@@ -12,7 +12,7 @@
 import hiredis
 
 from aniseshed.interface import Idempotency, Request, RequestMode, Settings
-from hookport.config import Names
+from hookport.config import NameIndex
 
 MAX_VALUE_BYTES = 64 * 1024
 # Servers may return larger values than clients may send: some have 400 KB.
@@ -230,7 +230,7 @@
 class RequestParser:
     """Parses SVC.QUERY and SVC.SUBMIT; raises CommandError for anything that a server would not accept."""
 
-    def __init__(self, names: Names, settings: Settings) -> None:
+    def __init__(self, names: NameIndex, settings: Settings) -> None:
         self.names, self.classes = names, settings.classes
         self.limiters, self.max_units = max(1, settings.limiters), settings.largest_units or math.inf
         # Most lists differ only in the wait, so caching the other fields saves most of the parsing work.
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -11,17 +11,17 @@
 from world import instance, list_update
 
 from aniseshed.interface import Health, ListKind
-from hookport.config import Names
-from hookport.discovery import LONGEST_LINE, Discovery, Watch, read_list
+from hookport.config import NameIndex
+from hookport.discovery import LONGEST_LINE, Discovery, Watch, parse_list
 
-NAMES = Names({}, {}, {"a": 0}, {"m": 0})
+NAMES = NameIndex({}, {}, {"a": 0}, {"m": 0})
 
 
 def read(*rows: Any) -> tuple[dict[str, Health], list[str]]:
     """What is used of a whole list, and the complaints."""
     wrong = list[str]()
     told = {"generation": 1, "reset": True, "instances": list(rows)}
-    _, listed, places = read_list(told, NAMES, ListKind.FULL, wrong.append)
+    _, listed, places = parse_list(told, NAMES, ListKind.FULL, wrong.append)
     assert {entry.server for entry in listed.entries} == set(places)
     return {entry.server.decode(): entry.health for entry in listed.entries}, wrong
 
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize("told", [None, [], {}, {"generation": 1, "reset": True, "instances": {"a": 1}}])
 def test_what_is_no_list_is_an_error(told: Any) -> None:
     with pytest.raises(ValueError, match="no list of servers"):
-        read_list(told, NAMES, ListKind.FULL)
+        parse_list(told, NAMES, ListKind.FULL)
 
 
 def test_what_is_wrong_with_an_entry_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -18,14 +18,14 @@
 
 from aniseshed.interface import Health, ServerEntry, Trust
 from hookport import config
-from hookport.config import Names
+from hookport.config import NameIndex
 from hookport.membership import kept as form
 from hookport.membership import words
 from hookport.membership.fleet import Snapshot, SnapshotEntry, State
 from hookport.options import Membership, Options
 
 SECOND = 1_000_000_000
-NAMES = Names({}, {}, {"a": 0}, {"m": 0})
+NAMES = NameIndex({}, {}, {"a": 0}, {"m": 0})
 
 
 def keep(path: Path, world: World, age_s: float, drains: tuple[int, ...] = (), generation: int = 5) -> None:
@@ -188,7 +188,7 @@
         async with World(serve) as world:
             await dark(world, tmp_path / "k").start()
             assert world.node
-            waits = [world.node.discovery.spread(2.0) for _ in range(50)]
+            waits = [world.node.discovery.jitter(2.0) for _ in range(50)]
             assert all(1.0 <= wait <= 3.0 for wait in waits) and max(waits) - min(waits) > 1.0
 
     asyncio.run(scenario())
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -500,7 +500,7 @@
             await until(lambda: servers.opening)
             (attempt,) = servers.opening
             drained = world.stubs[int(attempt.server[2:])]
-            limiter.apply_server_list(*discovery.read_list(
+            limiter.apply_server_list(*discovery.parse_list(
                 {"generation": 2, "reset": False,
                  "instances": [instance(attempt.server.decode(), drained.port, "DRAINING")]},
                 limiter.config.names, discovery.ListKind.FULL)[1:])  # fmt: skip
@@ -528,10 +528,10 @@
 def test_a_watch_that_ends_or_falls_silent_is_opened_again(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with World(serve) as world:
-            monkeypatch.setattr(discovery, "SILENCE_S", 0.05)
+            monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 0.05)
             await world.start()
             await until(lambda: len(world.discovery.watches) >= 2)  # the first said nothing
-            monkeypatch.setattr(discovery, "SILENCE_S", 60.0)
+            monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 60.0)
             count = len(world.discovery.watches)
             world.discovery.watches[-1].close()
             await until(lambda: len(world.discovery.watches) > count)
