--- a/hookport/discovery.py
+++ b/hookport/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of servers, kept by one watch over HTTP that is opened again when it ends."""
+"""Client of the discovery service: keeps the server list up to date through a streaming HTTP watch."""
 
 from __future__ import annotations
 
@@ -17,90 +17,100 @@
 
 log = logging.getLogger("hookport.discovery")
 
-SILENCE_TIMEOUT_S = 5.0  # an empty line comes every 2 s: a watch that misses two is dead
-AGAIN_S = (0.1, 2.0)  # wait before the next watch, doubled at each failure in a row
-LONGEST_LINE = 8 << 20  # bytes, also of an object that comes on several lines
-MOST_WRONG = 1024  # different complaints about entries that are told: each once
-STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
+# Discovery sends an empty line every 2 s; a watch that misses two of them is considered dead.
+SILENCE_TIMEOUT_S = 5.0
+RECONNECT_DELAY_S = (0.1, 2.0)  # initial and maximum delay; doubled after each consecutive failure
+MAX_LINE_BYTES = 8 << 20  # limit for one JSON object, also if it spans several lines
+MAX_REPORTED_PROBLEMS = 1024  # distinct problems with entries that are logged, each once
+JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 HEALTH_BY_LIFECYCLE = {"SERVING": Health.READY, "DRAINING": Health.DRAINING, "DELETED": Health.GONE}
 
-Told = Callable[[ServerList, dict[bytes, Address]], None]
+OnServerList = Callable[[ServerList, dict[bytes, Address]], None]
 
 
 def parse_entry(
-    told: dict[str, Any], names: NameIndex, wrong: Callable[[str], None] = log.warning
+    fields: dict[str, Any], names: NameIndex, warn: Callable[[str], None] = log.warning
 ) -> tuple[ServerEntry, Address]:
-    """One entry; raises ValueError, KeyError or the like on what cannot be used at all."""
-    server = told["instanceId"].encode()
-    weight = float(told.get("weight", 1.0))
+    """Parse one entry of the list and pass values that had to be replaced to ``warn``.
+
+    Raises ConfigError, ValueError, TypeError, KeyError, AttributeError or OverflowError if it is unusable."""
+    server = fields["instanceId"].encode()
+    weight = float(fields.get("weight", 1.0))
     if not 0 < weight < math.inf:
-        wrong(f"server {told['instanceId']} has weight {weight}: taken as 1")
-    if told["lifecycle"] not in HEALTH_BY_LIFECYCLE:
-        raise ValueError(f"unknown lifecycle {told['lifecycle']!r}")
+        warn(f"server {fields['instanceId']} has weight {weight}, which is not positive and finite: using 1")
+    if fields["lifecycle"] not in HEALTH_BY_LIFECYCLE:
+        raise ValueError(f"unknown lifecycle {fields['lifecycle']!r}")
     entry = ServerEntry(
         server=server,
-        zone=names.zones.get(told.get("zone", ""), 0),
-        kind=names.host_types.get(told.get("machineType", ""), 0),
-        cell=int(told.get("cell", 0)),
-        health=HEALTH_BY_LIFECYCLE[told["lifecycle"]],
+        zone=names.zones.get(fields.get("zone", ""), 0),
+        kind=names.host_types.get(fields.get("machineType", ""), 0),
+        cell=int(fields.get("cell", 0)),
+        health=HEALTH_BY_LIFECYCLE[fields["lifecycle"]],
         weight=weight if 0 < weight < math.inf else 1.0,
-        started_ns=int(told.get("startedAtMs", 0)) * 1_000_000,
+        started_ns=int(fields.get("startedAtMs", 0)) * 1_000_000,
     )
-    return entry, parse_address(told.get("hostPort"), "hostPort")
+    return entry, parse_address(fields.get("hostPort"), "hostPort")
 
 
 def parse_entries(
-    told: list[Any], names: NameIndex, wrong: Callable[[str], None]
+    instances: list[Any], names: NameIndex, warn: Callable[[str], None]
 ) -> dict[bytes, tuple[ServerEntry, Address]]:
-    """The entries that can be used, by server; each of the others is told to ``wrong`` with its place."""
-    rows = dict[bytes, tuple[ServerEntry, Address]]()
-    serving = dict[Address, ServerEntry]()
-    for place, row in enumerate(told):
+    """Parse all entries, keyed by server; those that are unusable are reported to ``warn`` and skipped."""
+    parsed = dict[bytes, tuple[ServerEntry, Address]]()
+    server_at = dict[Address, ServerEntry]()
+    for index, fields in enumerate(instances):
         try:
-            entry, at = parse_entry(row, names, wrong)
+            entry, address = parse_entry(fields, names, warn)
         except (ConfigError, ValueError, TypeError, KeyError, AttributeError, OverflowError) as error:
-            wrong(f"instances[{place}] is left out: {type(error).__name__}: {error}")
+            warn(f"instances[{index}] is left out: {type(error).__name__}: {error}")
             continue
-        if entry.health is Health.READY and (other := serving.get(at)) and other.server != entry.server:
-            # One process cannot be two servers: who started last is there now.
-            older, newer = sorted((other, entry), key=lambda one: one.started_ns)
+        if (
+            entry.health is Health.READY
+            and (previous := server_at.get(address))
+            and previous.server != entry.server
+        ):
+            # An address belongs to one process: the server that started last has replaced the other.
+            older, newer = sorted((previous, entry), key=lambda server: server.started_ns)
             both = f"{older.server.decode()} and {newer.server.decode()}"
-            wrong(f"{both} are both at {at[0]}:{at[1]}: the one that started last is used")
-            rows.pop(older.server, None)
+            warn(f"{both} are both at {address[0]}:{address[1]}: the one that started last is used")
+            parsed.pop(older.server, None)
             if older is entry:
                 continue
         if entry.health is Health.READY:
-            serving[at] = entry
-        rows[entry.server] = entry, at
-    return rows
+            server_at[address] = entry
+        parsed[entry.server] = entry, address
+    return parsed
 
 
 def parse_list(
-    told: Any, names: NameIndex, whole: ListKind, wrong: Callable[[str], None] = log.warning
+    document: Any, names: NameIndex, full_kind: ListKind, warn: Callable[[str], None] = log.warning
 ) -> tuple[int, ServerList, dict[bytes, Address]]:
-    """A version, its list and the addresses; raises ValueError on what is no list.
+    """Parse a list in discovery's JSON form; returns its generation, the list and the addresses by server.
 
-    An entry that cannot be used is told to ``wrong`` in one line and left out."""
+    ``full_kind`` is the kind of a list that is not a delta. An unusable entry is reported to ``warn`` in one
+    line and skipped. Raises ValueError if the document is not a list of servers."""
     try:
-        generation, reset, instances = int(told["generation"]), told["reset"], told["instances"]
+        generation, reset, instances = int(document["generation"]), document["reset"], document["instances"]
         if not isinstance(instances, list):
-            raise TypeError("instances is no list")
+            raise TypeError("instances is not a list")
     except (ValueError, TypeError, KeyError) as error:
-        raise ValueError(f"no list of servers: {type(error).__name__}: {error}") from error
-    rows = parse_entries(instances, names, wrong)
-    places = {server: place for server, (_, place) in rows.items()}
-    entries = tuple(entry for entry, _ in rows.values())
-    return generation, ServerList(whole if reset else ListKind.DELTA, entries), places
+        raise ValueError(f"not a server list: {type(error).__name__}: {error}") from error
+    parsed = parse_entries(instances, names, warn)
+    addresses = {server: address for server, (_, address) in parsed.items()}
+    entries = tuple(entry for entry, _ in parsed.values())
+    return generation, ServerList(full_kind if reset else ListKind.DELTA, entries), addresses
 
 
 class Watch(asyncio.Protocol):
-    """One watch; whatever ends it is told to ``ended`` once."""
+    """One watch connection; calls ``on_line`` for each object or empty line and ``on_closed`` once."""
 
-    def __init__(self, host: str, generation: int, line: Callable[[bytes], None], ended: Callable[[], None]):
+    def __init__(
+        self, host: str, generation: int, on_line: Callable[[bytes], None], on_closed: Callable[[], None]
+    ):
         self.http = h11.Connection(h11.CLIENT)
-        self.host, self.generation, self.line, self.ended = host, generation, line, ended
-        self.partial, self.pending, self.depth = b"", list[bytes](), 0
+        self.host, self.generation, self.on_line, self.on_closed = host, generation, on_line, on_closed
+        self.unfinished_line, self.pending_lines, self.nesting_depth = b"", list[bytes](), 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -115,156 +125,162 @@
             self.http.receive_data(data)
             while not isinstance(event := self.http.next_event(), type) and event is not None:
                 if isinstance(event, h11.Response) and event.status_code != 200:
-                    raise ValueError(f"status {event.status_code}")
+                    raise ValueError(f"unexpected HTTP status {event.status_code}")
                 if isinstance(event, h11.Data):
-                    self.read(bytes(event.data))
+                    self.feed(bytes(event.data))
                 if isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                     return self.transport.close()
         except (h11.RemoteProtocolError, ValueError) as error:
             log.warning("closing the watch: %s", error)
             self.transport.abort()
 
-    def read(self, data: bytes) -> None:
-        *lines, self.partial = (self.partial + data).split(b"\n")
+    def feed(self, data: bytes) -> None:
+        *lines, self.unfinished_line = (self.unfinished_line + data).split(b"\n")
         for line in lines:
-            self.gather(line.strip())
-        if len(self.partial) + sum(map(len, self.pending)) > LONGEST_LINE:
-            raise ValueError("a line without end")
-
-    def gather(self, line: bytes) -> None:
-        """Hand on each object whole, also one that comes indented, on many lines."""
-        if self.pending and not line:
-            raise ValueError("an object that breaks off")
-        bare = STRING.sub(b"", line)
-        self.depth += sum(map(bare.count, (b"{", b"["))) - sum(map(bare.count, (b"}", b"]")))
-        if self.depth > 0:
-            return self.pending.append(line)
-        self.depth, pending, self.pending = 0, self.pending, []
-        self.line(b"".join((*pending, line)))
+            self.handle_line(line.strip())
+        if len(self.unfinished_line) + sum(map(len, self.pending_lines)) > MAX_LINE_BYTES:
+            raise ValueError("a line or an object exceeds the maximum size")
+
+    def handle_line(self, line: bytes) -> None:
+        """Pass on each complete JSON object as one line, also if it is indented and spans several."""
+        if self.pending_lines and not line:
+            raise ValueError("incomplete JSON object")
+        without_strings = JSON_STRING.sub(b"", line)
+        self.nesting_depth += sum(map(without_strings.count, (b"{", b"["))) - sum(
+            map(without_strings.count, (b"}", b"]"))
+        )
+        if self.nesting_depth > 0:
+            return self.pending_lines.append(line)
+        self.nesting_depth, pending_lines, self.pending_lines = 0, self.pending_lines, []
+        self.on_line(b"".join((*pending_lines, line)))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.ended()
+        self.on_closed()
 
 
 class Discovery:
-    """Keeps one watch open and tells lists and failures."""
+    """Keeps one watch open, and passes server lists and failures to ``on_list``."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         address: Address,
         names: NameIndex,
-        told: Told,
+        on_list: OnServerList,
         connect_timeout_s: float,
-        follow: bool,
-        alive: Callable[[], None] | None = None,
+        auto_reconnect: bool,
+        on_activity: Callable[[], None] | None = None,
         jitter: Callable[[float], float] = float,
     ) -> None:
-        self.loop, self.address, self.names, self.told = loop, address, names, told
+        self.loop, self.address, self.names, self.on_list = loop, address, names, on_list
         self.connect_timeout_s = connect_timeout_s
-        self.follow = follow  # whether a watch that ended is opened again unasked
-        self.alive, self.jitter = alive, jitter  # told of every line; makes waits differ between limiters
-        self.last_line_s = 0.0  # when the watch last spoke
-        self.complaints = set[str]()
+        self.auto_reconnect = auto_reconnect  # if False, the policy asks for each watch (``subscribe``)
+        # on_activity is called for each line; jitter varies the reconnect delay between limiters.
+        self.on_activity, self.jitter = on_activity, jitter
+        self.last_line_s = 0.0  # loop time at which the last line arrived
+        self.reported_problems = set[str]()
         self.generation = 0
         self.watch: Watch | None = None
-        self.opening: asyncio.Task[None] | None = None
+        self.connecting: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.again_s = AGAIN_S[0]
+        self.reconnect_delay_s = RECONNECT_DELAY_S[0]
 
-    def start(self, known: dict[str, Any], full_list: bool = False) -> None:
-        """Begin with the list from the configuration, which may be old.
+    def start(self, known_list: dict[str, Any], full_list: bool = False) -> None:
+        """Pass on the list from the configuration, which may be outdated, and open the watch.
 
-        The watch then asks for what changed after it, or for the full list."""
+        The watch requests the changes since that list, or the full list if ``full_list`` is set."""
         try:
-            self.generation, listed, places = parse_list(known, self.names, ListKind.CACHED, self.wrong)
+            self.generation, server_list, addresses = parse_list(
+                known_list, self.names, ListKind.CACHED, self.report_problem
+            )
         except ValueError as error:
-            log.warning("the known list cannot be used: %s", error)
-            listed, places = ServerList(ListKind.CACHED, ()), {}
-        self.told(ServerList(ListKind.CACHED, listed.entries), places)
+            log.warning("ignoring the server list in the configuration: %s", error)
+            server_list, addresses = ServerList(ListKind.CACHED, ()), {}
+        self.on_list(ServerList(ListKind.CACHED, server_list.entries), addresses)
         if full_list:
             self.generation = 0
-        if self.follow:
+        if self.auto_reconnect:
             self.subscribe(True)
 
-    def wrong(self, complaint: str) -> None:
-        """Tell once what is wrong with an entry: it comes again with each whole list."""
-        if complaint not in self.complaints and len(self.complaints) < MOST_WRONG:
-            self.complaints.add(complaint)
-            log.warning("the list of servers: %s", complaint)
+    def report_problem(self, problem: str) -> None:
+        """Log a problem with an entry once, as every full list repeats it."""
+        if problem not in self.reported_problems and len(self.reported_problems) < MAX_REPORTED_PROBLEMS:
+            self.reported_problems.add(problem)
+            log.warning("server list: %s", problem)
 
     def change_address(self, address: Address) -> None:
-        """A new configuration: what is known stays in force until the new place tells its whole list."""
+        """Switch to another address; the current list stays in use until the new watch sends a full list."""
         if address == self.address:
             return
-        log.info("moving from %s:%d to %s:%d", *self.address, *address)
-        wanted = self.follow or self.watch is not None
-        self.address, self.again_s = address, AGAIN_S[0]
-        self.generation = 0  # the new place may count its versions in another way
-        if wanted:
+        log.info("switching from %s:%d to %s:%d", *self.address, *address)
+        watching = self.auto_reconnect or self.watch is not None
+        self.address, self.reconnect_delay_s = address, RECONNECT_DELAY_S[0]
+        self.generation = 0  # generations of another service are not comparable
+        if watching:
             self.subscribe(True)
 
     def subscribe(self, active: bool) -> None:
+        """Close the watch, and open a new one if ``active``."""
         self.close()
         if active:
-            self.opening = self.loop.create_task(self.open())
+            self.connecting = self.loop.create_task(self.connect())
 
-    async def open(self) -> None:
+    async def connect(self) -> None:
         host = f"{self.address[0]}:{self.address[1]}"
-        watch = Watch(host, self.generation, self.line, lambda: self.lost(watch))
+        watch = Watch(host, self.generation, self.on_line, lambda: self.on_watch_closed(watch))
         self.watch = watch
         try:
             async with asyncio.timeout(self.connect_timeout_s):
                 await self.loop.create_connection(lambda: watch, *self.address)
         except (OSError, TimeoutError) as error:
-            log.warning("no connection: %s", error or "timed out")
-            return self.lost(watch)
-        self.heard()
+            log.warning("cannot connect: %s", error or "timed out")
+            return self.on_watch_closed(watch)
+        self.restart_silence_timer()
 
-    def heard(self) -> None:
-        """Guards against a watch that is silent, which looks like a list that does not change."""
+    def restart_silence_timer(self) -> None:
+        """Restart the silence timer: a dead watch would otherwise look like a list that does not change."""
         if self.timer:
             self.timer.cancel()
-        self.timer = self.loop.call_later(SILENCE_TIMEOUT_S, self.silent)
+        self.timer = self.loop.call_later(SILENCE_TIMEOUT_S, self.on_silence)
 
-    def silent(self) -> None:
-        log.warning("the watch is silent")
+    def on_silence(self) -> None:
+        log.warning("closing the watch: no data within the silence timeout")
         if self.watch:
             self.watch.transport.abort()
 
-    def line(self, line: bytes) -> None:
-        self.heard()
-        self.last_line_s, self.again_s = self.loop.time(), AGAIN_S[0]
+    def on_line(self, line: bytes) -> None:
+        self.restart_silence_timer()
+        self.last_line_s, self.reconnect_delay_s = self.loop.time(), RECONNECT_DELAY_S[0]
         if line:
-            generation, listed, places = self.read(line)
+            generation, server_list, addresses = self.parse_line(line)
             self.generation = generation
-            self.told(listed, places)
-        if self.alive:
-            self.alive()
+            self.on_list(server_list, addresses)
+        if self.on_activity:
+            self.on_activity()
 
-    def read(self, line: bytes) -> tuple[int, ServerList, dict[bytes, Address]]:
+    def parse_line(self, line: bytes) -> tuple[int, ServerList, dict[bytes, Address]]:
         try:
-            return parse_list(json.loads(line), self.names, ListKind.FULL, self.wrong)
+            return parse_list(json.loads(line), self.names, ListKind.FULL, self.report_problem)
         except ValueError:
-            self.generation = 0  # what changed may be lost: the next watch begins with the whole list
+            self.generation = 0  # the changes in this line are lost: the next watch requests the full list
             raise
 
-    def lost(self, watch: Watch) -> None:
+    def on_watch_closed(self, watch: Watch) -> None:
         if self.watch is not watch:
             return
-        if watch.pending:
-            self.generation = 0  # what broke off may be lost: the next watch begins with the whole list
+        if watch.pending_lines:
+            self.generation = 0  # the incomplete object is lost: the next watch requests the full list
         self.close()
-        if self.follow:
-            self.timer = self.loop.call_later(self.jitter(self.again_s), self.subscribe, True)
-            self.again_s = min(2 * self.again_s, AGAIN_S[1])
-        self.told(ServerList(ListKind.FAILED, ()), {})
+        if self.auto_reconnect:
+            self.timer = self.loop.call_later(self.jitter(self.reconnect_delay_s), self.subscribe, True)
+            self.reconnect_delay_s = min(2 * self.reconnect_delay_s, RECONNECT_DELAY_S[1])
+        self.on_list(ServerList(ListKind.FAILED, ()), {})
 
     def close(self) -> None:
         if self.timer:
             self.timer.cancel()
-        if self.opening:
-            self.opening.cancel()
+        if self.connecting:
+            self.connecting.cancel()
         watch, self.watch = self.watch, None
         if watch and hasattr(watch, "transport"):
             watch.transport.abort()
