--- a/hookport/clients.py
+++ b/hookport/clients.py
@@ -13,7 +13,7 @@
 from hookport.config import Address
 
 if TYPE_CHECKING:
-    from hookport.limits import Front, Session
+    from hookport.limits import LimitCommands, Session
 
 log = logging.getLogger("hookport.clients")
 
@@ -147,7 +147,7 @@
             except resp.CommandError as error:
                 self.pending_replies.remove(pending)
                 self.reject_command(str(error))
-        elif (limit_commands := self.clients.limit_commands) and limit_commands.command(self, verb, message):
+        elif (limit_commands := self.clients.limit_commands) and limit_commands.handle_command(self, verb, message):
             pass
         elif verb == b"PING":
             self.send_reply(resp.PONG if len(message) == 1 else resp.error("wrong number of arguments"))
@@ -267,7 +267,7 @@
         self.draining = False
         self.done = asyncio.Event()
         self.server: asyncio.Server | None = None
-        self.limit_commands: Front | None = None  # None: not enabled by the options
+        self.limit_commands: LimitCommands | None = None  # None: not enabled by the options
 
     async def listen(self, address: Address) -> Address:
         """Start to accept connections; return the bound address, with the actual port if it was 0."""
--- a/hookport/node.py
+++ b/hookport/node.py
@@ -19,7 +19,7 @@
 from hookport.servers import Attempt, Servers, has_unread_data
 
 if TYPE_CHECKING:
-    from hookport.limits import Front
+    from hookport.limits import LimitCommands
     from hookport.membership import MembershipManager
     from hookport.peers import Peers
 
@@ -151,14 +151,14 @@
             api.Log: lambda action: log.info("%s", action.text),
         }
 
-    def create_limit_commands(self) -> Front:
+    def create_limit_commands(self) -> LimitCommands:
         """Create the handler of the limit commands, which the options must enable."""
         from hookport import __version__
-        from hookport.limits import Front, Users  # imported only if enabled
+        from hookport.limits import LimitCommands, Users  # imported only if enabled
 
         assert self.config.options and self.config.options.limits
         options = self.config.options.limits
-        return Front(
+        return LimitCommands(
             self.loop, options, self.request_parser, self.settings, self, __version__, Users(options.users)
         )
 
@@ -177,7 +177,7 @@
     async def start(self) -> None:
         if self.peers and self.config.peer_listen:
             await self.peers.start(self.config.peer_listen)
-        self.discovery.start(self.config.known_list, whole=self.members is not None)
+        self.discovery.start(self.config.known_list, full_list=self.members is not None)
         if self.counter:
             self.counter.connect()
         host, port = await self.clients.listen(self.config.listen)
@@ -206,9 +206,9 @@
         """Apply the new addresses of discovery and the counter (on SIGHUP); open requests continue.
 
         Everything else takes effect only at a restart."""
-        if self.members and config.discovery != self.discovery.place:
+        if self.members and config.discovery != self.discovery.address:
             self.members.change_discovery("{}:{}".format(*config.discovery))
-        self.discovery.move(config.discovery)
+        self.discovery.change_address(config.discovery)
         if self.counter and config.counter:
             self.counter.change_address(config.counter)
         if config.settings != self.settings or config.listen != self.config.listen:
@@ -229,7 +229,7 @@
             if request_id in self.open_requests:
                 self.request_expired(request_id)
         if self.limit_commands:
-            self.limit_commands.answer_all()
+            self.limit_commands.expire_all()
 
     def now_ns(self) -> int:
         return self.monotonic_ns() + self.unix_offset_ns
@@ -366,13 +366,13 @@
     # Other actions and events
 
     def refuse(self, action: api.Refuse) -> None:
-        if self.limit_commands and self.limit_commands.refused(action.request_id, action.retry_after_ns):
+        if self.limit_commands and self.limit_commands.on_refused(action.request_id, action.retry_after_ns):
             return
         self.answer(action.request_id, resp.busy(action.retry_after_ns))
 
     def verdict(self, action: api.QuotaAnswer) -> None:
         if self.limit_commands:
-            self.limit_commands.verdict(action)
+            self.limit_commands.on_quota_answer(action)
 
     def fail(self, action: api.Fail) -> None:
         self.answer(action.request_id, resp.error("failed"))
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -512,7 +512,7 @@
             await until(lambda: servers.connecting)
             (attempt,) = servers.connecting
             draining_stub = world.stubs[int(attempt.server[2:])]
-            limiter.apply_server_list(*discovery.read_list(
+            limiter.apply_server_list(*discovery.parse_list(
                 {"generation": 2, "reset": False,
                  "instances": [instance(attempt.server.decode(), draining_stub.port, "DRAINING")]},
                 limiter.config.names, discovery.ListKind.FULL)[1:])  # fmt: skip
@@ -540,10 +540,10 @@
 def test_watch_that_ends_or_falls_silent_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with World(serve) as world:
-            monkeypatch.setattr(discovery, "SILENCE_S", 0.05)
+            monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 0.05)
             await world.start()
             await until(lambda: len(world.discovery.watches) >= 2)  # the first was silent
-            monkeypatch.setattr(discovery, "SILENCE_S", 60.0)
+            monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 60.0)
             count = len(world.discovery.watches)
             world.discovery.watches[-1].close()
             await until(lambda: len(world.discovery.watches) > count)
