--- a/hookport/clients.py
+++ b/hookport/clients.py
@@ -147,7 +147,9 @@
             except resp.CommandError as error:
                 self.pending_replies.remove(pending)
                 self.reject_command(str(error))
-        elif (limit_commands := self.clients.limit_commands) and limit_commands.handle_command(self, verb, message):
+        elif (limit_commands := self.clients.limit_commands) and limit_commands.handle_command(
+            self, verb, message
+        ):
             pass
         elif verb == b"PING":
             self.send_reply(resp.PONG if len(message) == 1 else resp.error("wrong number of arguments"))
