--- a/aniseshed/bound.py
+++ b/aniseshed/bound.py
@@ -1,4 +1,4 @@
-"""The overrun that each state of the counter allows: what a limiter states, and decides nothing by."""
+"""Upper bounds on the quota overrun in each state of the counter, for reports; no decision uses them."""
 
 from __future__ import annotations
 
@@ -8,11 +8,19 @@
 from aniseshed.partition import ABSENT_BEATS, BEAT_NS, SECOND_NS
 
 
-def bounds(settings: Settings, limiters: int, weather: CounterHealth) -> tuple[float, ...]:
-    """The bound of each plan's customers now, in units, where a set is as large as the fleet."""
-    largest = float(max(1, settings.largest_units))
+def bounds(settings: Settings, limiters: int, counter_health: CounterHealth) -> tuple[float, ...]:
+    """The present bound for a customer of each plan, in units, with all limiters in the customer's set."""
+    largest_units = float(max(1, settings.largest_units))
     return tuple(
-        bound_units(weather.state, p.rate, p.burst, limiters, largest, REPORT_SHARE, weather.timeout_ns)
+        bound_units(
+            counter_health.state,
+            p.rate,
+            p.burst,
+            limiters,
+            largest_units,
+            REPORT_SHARE,
+            counter_health.timeout_ns,
+        )
         for p in settings.plans
     )
 
@@ -21,26 +29,33 @@
     state: CounterState,
     rate: float,
     burst: float,
-    size: float,
-    largest: float,
-    tell_share: float,
+    set_size: float,
+    largest_units: float,
+    report_share: float,
     timeout_ns: int,
 ) -> float:
-    """Units that limiters of a set may pass beyond one customer's quota, in all, from a change on and for the
-    window (2.5 bursts of refill) after it.  Each further window may add what ``WELL`` allows, and the rate
-    times the difference of the limiters' clocks: a window's edge hides as much.
-
-    ``rate`` in units a second, ``burst`` and ``largest`` (one request) in units, ``tell_share`` the part of
-    its slice of the room that a limiter spends before it tells, ``timeout_ns`` that of a
-    counter call.  Derived in docs/design/counter-lost.md."""
-    unseen = (size - 1) * (tell_share * burst / size + largest)  # spent by others and not told yet
+    """Units that the limiters of a set may together pass beyond one customer's quota.
+
+    The bound covers the time from a change of state through the next window, in which 2.5 bursts are
+    refilled. Each further window may add the bound of the healthy state, and the rate times the difference of
+    the limiters' clocks, which is what the edge of a window hides.
+
+    ``rate`` is in units per second, ``burst`` and ``largest_units`` (one request) are in units.
+    ``report_share`` is the part of its share of the balance that a limiter spends before it reports,
+    ``timeout_ns`` the timeout of a counter call. Derived in docs/design/counter-lost.md."""
+    # Units spent by the other limiters and not reported yet.
+    unreported = (set_size - 1) * (report_share * burst / set_size + largest_units)
     if state in (CounterState.SILENT, CounterState.SLOW):
-        # Each slice may take one request ahead, until silence is told the store refills for all, and when the
-        # counter is back a burst may be believed in which a limiter that has not spoken yet has spent.
-        return unseen + size * largest + rate * (SILENT_WAITS + 1) * timeout_ns / SECOND_NS + burst
+        # Each slice may be overdrawn by one request. Until the silence is detected, every limiter refills the
+        # whole balance. When the counter is back, a burst may be assumed that another limiter has spent but
+        # not reported yet.
+        return (
+            unreported + set_size * largest_units + rate * (SILENT_WAITS + 1) * timeout_ns / SECOND_NS + burst
+        )
     if state is CounterState.SPLIT:
-        # Two sides spend one store until the roll shows it; after that each keeps to its part.
-        return unseen + burst + rate * (ABSENT_BEATS + 1) * BEAT_NS / SECOND_NS
+        # Both sides spend the same balance until the heartbeats show the split; then each keeps to its share.
+        return unreported + burst + rate * (ABSENT_BEATS + 1) * BEAT_NS / SECOND_NS
     if state is CounterState.REPLACED:
-        return 2 * unseen + size * largest  # what the lost count knew and one limiter did not
-    return unseen
+        # Includes what the lost count contained and a limiter did not know.
+        return 2 * unreported + set_size * largest_units
+    return unreported
