--- a/aniseshed/interface.py
+++ b/aniseshed/interface.py
@@ -281,7 +281,8 @@
     """Result of a counter call; ``total`` is valid with OK only.
 
     A call that ended as TIMEOUT may be reported once more when its answer comes late. ``call_id`` is that of
-    the Count action; ``total`` is in units of the quota and contains the limiters' marks (see marks.py)."""
+    the Count action; ``total`` is in units of the quota and contains the limiters' digits (see
+    sequence_digits.py)."""
 
     key: int
     outcome: Outcome
@@ -395,7 +396,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CounterReport:
-    """State of the shared counter, reported to operators (see ``weather.py``).
+    """State of the shared counter, reported to operators (see ``counter_health.py``).
 
     The state began at ``since_ns`` on the limiter's clock.
     ``bound_units`` bounds, by plan index, the units beyond one customer's quota that may pass after the
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -175,5 +175,5 @@
 
 
 def test_a_set_larger_than_a_group_keeps_its_whole_quota_in_a_split() -> None:
-    roll = PartitionDetector(0, LIMITERS, START, True, split=frozenset({1, 2}))
-    assert roll.quota_share(0, 150) == 1.0 and roll.quota_share(0, 4) == 0.5
+    detector = PartitionDetector(0, LIMITERS, START, True, split=frozenset({1, 2}))
+    assert detector.quota_share(0, 150) == 1.0 and detector.quota_share(0, 4) == 0.5
