--- a/hookport/limits/commands.py
+++ b/hookport/limits/commands.py
@@ -1,15 +1,15 @@
 """The limit commands on the daemon's connections.
 
-    LIMIT.TAKE CUSTOMER ID LIST    takes the units now, once for each id
-    LIMIT.PEEK CUSTOMER ID LIST    what a take would come to; takes nothing
-    LIMIT.GIVE ID                  gives back what was taken under an id and not used, once
+    LIMIT.TAKE CUSTOMER ID LIST    takes units from the quota, once for each id
+    LIMIT.PEEK CUSTOMER ID LIST    reports what a take would do, without taking anything
+    LIMIT.GIVE ID                  returns the unused units that were taken under an id, once
 
-``LIST`` is that of a forwarded request (``c=search,t=standard,units=2,spread=3,first=1``); ``d`` may be left
-out.  Take and peek are answered by three integers: 1 or 0, the units that are left, and after how many
-milliseconds to come back. Give is answered 1, or 0 if there was nothing to give back.
+``LIST`` is that of a forwarded request (``c=search,t=standard,units=2,spread=3,first=1``), where ``d`` is
+optional. TAKE and PEEK reply with three integers: 1 or 0 (allowed or not), the units that remain, and the
+milliseconds to wait before the next attempt. GIVE replies with 1, or with 0 if there was nothing to return.
 
-A take is a request to the module that ends in a verdict where another one ends at a server, so both draw from
-one bucket, slice, counter and hold."""
+The policy handles a take like a forwarded request, except that it ends in a quota answer instead of at a
+server. Both therefore draw from the same token bucket, slice and counter, and wait in the same way."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 from hookport.options import Limits
 
 MS, SECOND = 1_000_000, 1_000_000_000
-SPARE_S = 0.1  # after the time of a question, before it is taken for forgotten
-MOST_WRONG = 8  # secrets on one connection
+EXPIRY_MARGIN_S = 0.1  # added to the timeout of a request, so that the policy normally answers first
+MAX_FAILED_AUTHS = 8  # on one connection
 NOPERM = b"-NOPERM this user may not use this command, or not for this customer\r\n"
 TAKE, PEEK, GIVE = b"LIMIT.TAKE", b"LIMIT.PEEK", b"LIMIT.GIVE"
-NAMES = {TAKE: "take", PEEK: "peek", GIVE: "give"}
+PERMISSIONS = {TAKE: "take", PEEK: "peek", GIVE: "give"}
 
 
-class Door(Protocol):
-    """What the daemon offers."""
+class Daemon(Protocol):
+    """The part of the daemon that limit commands use."""
 
     def now_ns(self) -> int: ...
     def new_id(self) -> int: ...
@@ -44,171 +44,177 @@
 
 
 @dataclass(slots=True)
-class Pending:
-    """A question that the module holds, and who waits for its answer."""
+class PendingCommand:
+    """A request that the policy has yet to answer, and the replies that wait for it."""
 
     units: float
-    key: Key | None  # None: a peek, which nobody remembers
-    taken: TakeRecord | None
-    answers: list[PendingReply] = field(default_factory=list)
-    timer: asyncio.TimerHandle | None = None
+    key: Key | None  # None for a peek, which is not recorded
+    record: TakeRecord | None
+    replies: list[PendingReply] = field(default_factory=list)
+    expiry_timer: asyncio.TimerHandle | None = None
 
 
 class LimitCommands:
-    """The commands of all connections."""
+    """Runs the limit and connection commands of all connections."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         options: Limits,
-        grammar: resp.RequestParser,
+        parser: resp.RequestParser,
         settings: api.Settings,
-        door: Door,
+        daemon: Daemon,
         version: str,
         users: Users,
     ) -> None:
-        self.loop, self.options, self.grammar, self.settings, self.door = (
+        self.loop, self.options, self.parser, self.settings, self.daemon = (
             loop,
             options,
-            grammar,
+            parser,
             settings,
-            door,
+            daemon,
         )
         self.version, self.users = version, users
         self.ledger = Ledger(round(options.keep_s * SECOND), options.most_ids)
-        self.pending: dict[int, Pending] = {}
-        self.numbers = itertools.count(1)
+        self.pending: dict[int, PendingCommand] = {}
+        self.connection_ids = itertools.count(1)
 
-    def handle_command(self, connection: Connection, verb: bytes, words: Sequence[object]) -> bool:
-        """PendingReply a command; False if it is none of these."""
+    def handle_command(self, connection: Connection, verb: bytes, arguments: Sequence[object]) -> bool:
+        """Reply to a limit or connection command; returns False for any other command."""
         session = connection.session
         if session is None:
-            session = connection.session = Session(next(self.numbers), self.version)
-        texts = [word for word in words if isinstance(word, bytes)]
-        if len(texts) != len(words):
+            session = connection.session = Session(next(self.connection_ids), self.version)
+        args = [argument for argument in arguments if isinstance(argument, bytes)]
+        if len(args) != len(arguments):
             return False
-        if verb in NAMES:
+        if verb in PERMISSIONS:
             try:
-                self.limit(connection, session, verb, texts)
+                self.handle_limit_command(connection, session, verb, args)
             except resp.CommandError as error:
                 connection.reject_command(str(error))
             return True
-        reply = session.answer(verb, texts, self.users.admit)
+        reply = session.reply_to(verb, args, self.users.authenticate)
         if reply is None:
             return False
         if reply.startswith(b"-WRONGPASS"):
-            session.wrong += 1
-            if session.wrong > MOST_WRONG:
+            session.failed_auths += 1
+            if session.failed_auths > MAX_FAILED_AUTHS:
                 connection.close_with_error("too many wrong secrets")
                 return True
         connection.send_reply(reply)
-        if session.ending:
+        if session.closing:
             connection.close_when_answered()
         return True
 
-    def limit(self, connection: Connection, session: Session, verb: bytes, words: Sequence[bytes]) -> None:
+    def handle_limit_command(
+        self, connection: Connection, session: Session, verb: bytes, args: Sequence[bytes]
+    ) -> None:
         if self.users.users and session.user is None:
             return connection.send_reply(NOAUTH)
         if verb == GIVE:
-            return self.give(connection, session, words)
-        command = self.grammar.parse_limit_request(words)
-        if not self.users.may(session.user, NAMES[verb], command.customer):
+            return self.handle_give(connection, session, args)
+        command = self.parser.parse_limit_request(args)
+        if not self.users.is_allowed(session.user, PERMISSIONS[verb], command.customer):
             return connection.send_reply(NOPERM)
         connection.accepted_count += 1
         fields, key = command.fields, (session.user, command.request_id)
-        now_ns, about = self.door.now_ns(), (command.customer, fields)
-        if verb == TAKE and (known := self.ledger.find(now_ns, key)):
-            return self.repeat(connection, known, about)
+        now_ns, parameters = self.daemon.now_ns(), (command.customer, fields)
+        if verb == TAKE and (record := self.ledger.find(now_ns, key)):
+            return self.handle_repeat(connection, record, parameters)
         if len(self.pending) >= self.options.most_open:
-            return connection.send_reply(self.refusal(self.settings.max_retry_after_ns))
-        pending = Pending(fields.units, None, None)
+            return connection.send_reply(self.encode_refusal(self.settings.max_retry_after_ns))
+        pending = PendingCommand(fields.units, None, None)
         if verb == TAKE:
-            pending.key, pending.taken = key, self.ledger.open(now_ns, key, about, command.customer)
-        answer = PendingReply(connection)
-        connection.pending_replies.append(answer)
-        pending.answers.append(answer)
+            pending.key, pending.record = key, self.ledger.add(now_ns, key, parameters, command.customer)
+        pending_reply = PendingReply(connection)
+        connection.pending_replies.append(pending_reply)
+        pending.replies.append(pending_reply)
         deadline_ns = self.settings.classes[fields.class_index].deadline_ns
-        patience_ns = min(command.wait_ms * MS or deadline_ns, deadline_ns)
-        request_id = self.door.new_id()
+        timeout_ns = min(command.wait_ms * MS or deadline_ns, deadline_ns)
+        request_id = self.daemon.new_id()
         self.pending[request_id] = pending
-        ask = api.RequestMode.TAKE if verb == TAKE else api.RequestMode.PEEK
-        self.door.feed(command.to_event(request_id, patience_ns, ask))
+        mode = api.RequestMode.TAKE if verb == TAKE else api.RequestMode.PEEK
+        self.daemon.feed(command.to_event(request_id, timeout_ns, mode))
         if request_id in self.pending:
-            # Guards against a question that nobody ever answers.
-            pending.timer = self.loop.call_later(patience_ns / SECOND + SPARE_S, self.expire, request_id)
+            # Without a timer, a request that the policy never answers would stay pending for ever.
+            pending.expiry_timer = self.loop.call_later(
+                timeout_ns / SECOND + EXPIRY_MARGIN_S, self.expire, request_id
+            )
 
-    def repeat(self, connection: Connection, known: TakeRecord, about: tuple[object, ...]) -> None:
-        """The same id again: the same answer, when there is one."""
-        if known.about != about:
+    def handle_repeat(
+        self, connection: Connection, record: TakeRecord, parameters: tuple[object, ...]
+    ) -> None:
+        """Reply to a repeated id with the reply of the first request, once there is one."""
+        if record.parameters != parameters:
             raise resp.CommandError("the id stands for another question")
-        if known.answer is not None:
-            return connection.send_reply(known.answer)
-        waiting = next((p for p in self.pending.values() if p.taken is known), None)
-        if waiting is None:
-            return connection.send_reply(self.refusal(0))
-        answer = PendingReply(connection)
-        connection.pending_replies.append(answer)
-        waiting.answers.append(answer)
-
-    def give(self, connection: Connection, session: Session, words: Sequence[bytes]) -> None:
-        if len(words) != 2:
+        if record.reply is not None:
+            return connection.send_reply(record.reply)
+        pending = next((p for p in self.pending.values() if p.record is record), None)
+        if pending is None:
+            return connection.send_reply(self.encode_refusal(0))
+        pending_reply = PendingReply(connection)
+        connection.pending_replies.append(pending_reply)
+        pending.replies.append(pending_reply)
+
+    def handle_give(self, connection: Connection, session: Session, args: Sequence[bytes]) -> None:
+        if len(args) != 2:
             raise resp.CommandError("wrong number of arguments")
-        now_ns, key = self.door.now_ns(), (session.user, words[1])
-        known = self.ledger.find(now_ns, key)
-        if not self.users.may(session.user, "give", known.customer if known else None):
+        now_ns, key = self.daemon.now_ns(), (session.user, args[1])
+        record = self.ledger.find(now_ns, key)
+        if not self.users.is_allowed(session.user, "give", record.customer if record else None):
             return connection.send_reply(NOPERM)
         connection.accepted_count += 1
-        taken = self.ledger.give_back(now_ns, key)
-        if taken:
-            self.door.feed(api.UnitsReturned(taken.customer, taken.units))
-        connection.send_reply(b":1\r\n" if taken else b":0\r\n")
+        returned = self.ledger.mark_given_back(now_ns, key)
+        if returned:
+            self.daemon.feed(api.UnitsReturned(returned.customer, returned.units))
+        connection.send_reply(b":1\r\n" if returned else b":0\r\n")
 
-    # From the module
+    # Results from the policy
 
     def on_quota_answer(self, action: api.QuotaAnswer) -> None:
-        """What the module said to a question."""
-        if pending := self.forget(action.request_id):
+        """Reply to a request that the policy allowed or denied."""
+        if pending := self.remove(action.request_id):
             wait_ms = -(-action.wait_ns // MS)
-            if pending.taken and action.allowed:
-                pending.taken.units = pending.units
-            self.answer(
+            if pending.record and action.allowed:
+                pending.record.units = pending.units
+            self.complete(
                 pending,
                 b"*3\r\n:%d\r\n:%d\r\n:%d\r\n" % (action.allowed, int(action.remaining_units), wait_ms),
             )
 
     def on_refused(self, request_id: int, wait_ns: int) -> bool:
-        """A refusal of the module; False if the request is none of these."""
-        pending = self.forget(request_id)
+        """Reply to a request that the policy refused; returns False if it is not a limit request."""
+        pending = self.remove(request_id)
         if pending:
-            self.answer(pending, self.refusal(wait_ns))
+            self.complete(pending, self.encode_refusal(wait_ns))
         return pending is not None
 
     @staticmethod
-    def refusal(wait_ns: int) -> bytes:
+    def encode_refusal(wait_ns: int) -> bytes:
         return b"*3\r\n:0\r\n:0\r\n:%d\r\n" % -(-wait_ns // MS)
 
-    def forget(self, request_id: int) -> Pending | None:
+    def remove(self, request_id: int) -> PendingCommand | None:
         pending = self.pending.pop(request_id, None)
-        if pending and pending.timer:
-            pending.timer.cancel()
+        if pending and pending.expiry_timer:
+            pending.expiry_timer.cancel()
         return pending
 
-    def answer(self, pending: Pending, reply: bytes) -> None:
-        if pending.taken:
-            pending.taken.answer = reply
-        for answer in pending.answers:
-            answer.complete(reply)
+    def complete(self, pending: PendingCommand, reply: bytes) -> None:
+        if pending.record:
+            pending.record.reply = reply
+        for pending_reply in pending.replies:
+            pending_reply.complete(reply)
 
     def expire(self, request_id: int) -> None:
-        """No answer of the module in time: nothing was taken, and the id is free."""
-        if pending := self.forget(request_id):
+        """Time out a request that the policy didn't answer; nothing is taken and its id can be used again."""
+        if pending := self.remove(request_id):
             if pending.key:
-                self.ledger.drop(pending.key)
-                pending.taken = None
-            self.answer(pending, resp.error("timed out"))
-            self.door.feed(api.HungUp(request_id))
+                self.ledger.remove(pending.key)
+                pending.record = None
+            self.complete(pending, resp.error("timed out"))
+            self.daemon.feed(api.HungUp(request_id))
 
     def expire_all(self) -> None:
-        """Before the process may be killed: each question gets its answer."""
+        """Time out all pending requests, so that each gets its reply before the process may be killed."""
         for request_id in list(self.pending):
             self.expire(request_id)
--- a/hookport/limits/session.py
+++ b/hookport/limits/session.py
@@ -23,15 +23,15 @@
 class Session:
     """State of one connection: ``user`` is None until authenticated, ``protocol`` is the RESP version."""
 
-    number: int
+    connection_id: int
     version: str
     protocol: int = 2
     user: bytes | None = None
     name: bytes = b""
-    ending: bool = False  # whether QUIT was received
-    wrong: int = 0  # failed authentications
+    closing: bool = False  # whether QUIT was received
+    failed_auths: int = 0
 
-    def answer(self, verb: bytes, args: Sequence[bytes], authenticate: Authenticate) -> bytes | None:
+    def reply_to(self, verb: bytes, args: Sequence[bytes], authenticate: Authenticate) -> bytes | None:
         """Return the reply to one command, or None if it is not a connection command."""
         handler = HANDLERS.get(verb)
         return handler(self, args, authenticate) if handler else None
@@ -60,7 +60,7 @@
             (b"server", resp.bulk(b"hookport")),
             (b"version", resp.bulk(self.version.encode())),
             (b"proto", b":%d\r\n" % self.protocol),
-            (b"id", b":%d\r\n" % self.number),
+            (b"id", b":%d\r\n" % self.connection_id),
             (b"mode", resp.bulk(b"standalone")),
             (b"role", resp.bulk(b"master")),
             (b"modules", b"*0\r\n"),
@@ -87,7 +87,7 @@
     def client(self, args: Sequence[bytes], authenticate: Authenticate) -> bytes:
         subcommand = args[1].upper() if len(args) > 1 else b""
         if subcommand == b"ID" and len(args) == 2:
-            return b":%d\r\n" % self.number
+            return b":%d\r\n" % self.connection_id
         if subcommand == b"GETNAME" and len(args) == 2:
             return resp.bulk(self.name) if self.name else self.null
         if subcommand == b"SETNAME" and len(args) == 3:
@@ -133,7 +133,7 @@
         return b"+RESET\r\n"
 
     def quit(self, args: Sequence[bytes], authenticate: Authenticate) -> bytes:
-        self.ending = True
+        self.closing = True
         return resp.OK
 
 
--- a/hookport/limits/users.py
+++ b/hookport/limits/users.py
@@ -41,7 +41,7 @@
             )
         return hashlib.sha256(secret).digest()
 
-    def admit(self, name: bytes, secret: bytes) -> bool:
+    def authenticate(self, name: bytes, secret: bytes) -> bool:
         """Check a user's secret; takes the same time whether or not the user exists."""
         digest = hashlib.sha256(secret).digest()
         return (
@@ -49,7 +49,7 @@
             and name in self.secret_digests
         )
 
-    def may(self, name: bytes | None, command: str, customer: int | None) -> bool:
+    def is_allowed(self, name: bytes | None, command: str, customer: int | None) -> bool:
         """Whether a user may run a command ("take", "peek" or "give"), for ``customer`` unless it is None."""
         if not self.users:
             return True
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limit commands: ordinary clients, one core for both paths, and nothing counted twice."""
+"""Limit commands: Redis clients, idempotency, authorization, and the same quota decisions as forwarding."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
     return verb, customer, id, FIELDS % units
 
 
-def counting() -> Handler:
-    """A counter that counts."""
+def counter_with_totals() -> Handler:
+    """A counter stub that returns real totals."""
     totals: dict[bytes, float] = {}
 
     async def count(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
@@ -45,11 +45,13 @@
     return count
 
 
-def on(scenario: Callable[[World], Awaitable[None]], limits: Limits | None = None, **more: Any) -> None:
-    """Run a scenario against a limiter with limit commands on."""
+def run_scenario(
+    scenario: Callable[[World], Awaitable[None]], limits: Limits | None = None, **more: Any
+) -> None:
+    """Run a scenario against a limiter with limit commands enabled."""
 
     async def run() -> None:
-        async with World(serve, **{"count": counting(), **more}) as world:
+        async with World(serve, **{"count": counter_with_totals(), **more}) as world:
             world.options = Options(limits=limits or Limits())
             await world.start()
             await scenario(world)
@@ -57,7 +59,7 @@
     asyncio.run(run())
 
 
-# Ordinary clients
+# Redis clients
 
 
 @pytest.mark.parametrize("protocol", [None, 2, 3])
@@ -75,14 +77,14 @@
                         pipe.execute_command("LIMIT.TAKE", *take(b"p%d" % n)[1:])
                     assert [row[0] for row in pipe.execute()] == [1] * 200
                 client.connection_pool.disconnect()
-                assert client.ping(), "and reconnects"
+                assert client.ping(), "the client must reconnect"
 
         await asyncio.to_thread(ask)
         async with redis.asyncio.Redis(port=world.port, **more) as client:  # type: ignore[arg-type]
             rows = await asyncio.gather(*(client.execute_command(*take(b"g%d" % n)) for n in range(40)))
             assert [row[0] for row in rows] == [1] * 40
 
-    on(scenario)
+    run_scenario(scenario)
 
 
 def test_coredis_connects_with_its_defaults() -> None:
@@ -92,10 +94,10 @@
             assert await client.ping()
             assert await client.echo("x") in (b"x", "x")
 
-    on(scenario)
+    run_scenario(scenario)
 
 
-def test_the_words_of_a_connection() -> None:
+def test_connection_commands_get_the_documented_replies_and_errors() -> None:
     async def scenario(world: World) -> None:
         client = await world.client()
         hello = await client.ask(b"HELLO", b"2")
@@ -118,10 +120,12 @@
         with pytest.raises(EOFError):
             await client.answer()
 
-    on(scenario)
+    run_scenario(scenario)
 
 
-def test_off_nothing_has_changed_to_the_byte() -> None:
+def test_replies_without_limit_commands_are_unchanged() -> None:
+    """If the feature is disabled, its connection and limit commands are unknown, byte for byte."""
+
     async def scenario() -> None:
         async with World(serve) as world:
             await world.start()
@@ -141,36 +145,38 @@
 # Takes
 
 
-def test_takes_peeks_and_gives_draw_from_the_quota_of_forwarded_requests() -> None:
+def test_take_peek_and_give_use_the_quota_of_forwarded_requests() -> None:
     async def scenario(world: World) -> None:
         client = await world.client()
         assert (await client.ask(*take(b"p", 4, b"LIMIT.PEEK")))[:2] == [1, 8]
         assert (await client.ask(*take(b"a", 4)))[:2] == [1, 4]
         assert await client.ask(*query(1)) == b"value"
         assert (await client.ask(*take(b"p", 4, b"LIMIT.PEEK")))[:2] == [0, 3]
-        fits, _, wait_ms = await client.ask(*take(b"b", 4))
-        assert fits == 0 and wait_ms > 0
+        allowed, _, wait_ms = await client.ask(*take(b"b", 4))
+        assert allowed == 0 and wait_ms > 0
         assert await client.ask(b"LIMIT.GIVE", b"a") == 1
-        assert await client.ask(b"LIMIT.GIVE", b"a") == 0, "once"
-        assert await client.ask(b"LIMIT.GIVE", b"b") == 0, "it was refused: there is nothing to give back"
+        assert await client.ask(b"LIMIT.GIVE", b"a") == 0, "units can be given back only once"
+        assert await client.ask(b"LIMIT.GIVE", b"b") == 0, (
+            "the take was refused, so there is nothing to give back"
+        )
         assert (await client.ask(*take(b"p", 4, b"LIMIT.PEEK")))[:2] == [1, 7]
-        assert not world.stubs[0].commands[1:], "only the forwarded one went to a server"
+        assert not world.stubs[0].commands[1:], "only the forwarded request may reach a server"
 
-    on(scenario, perSecond=0.001, storeSize=8.0)
+    run_scenario(scenario, perSecond=0.001, storeSize=8.0)
 
 
-def test_the_same_id_gets_the_same_answer_and_takes_nothing_more() -> None:
+def test_a_repeated_id_gets_the_same_reply_and_takes_no_further_units() -> None:
     async def scenario(world: World) -> None:
         first, second = await world.client(), await world.client()
-        told = await first.ask(*take(b"a", 4))
-        assert await second.ask(*take(b"a", 4)) == told and told[1] == 4
+        reply = await first.ask(*take(b"a", 4))
+        assert await second.ask(*take(b"a", 4)) == reply and reply[1] == 4
         assert "another question" in str(await second.ask(*take(b"a", 2)))
         assert (await first.ask(*take(b"p", 1, b"LIMIT.PEEK")))[1] == 4
 
-    on(scenario, perSecond=0.001, storeSize=8.0)
+    run_scenario(scenario, perSecond=0.001, storeSize=8.0)
 
 
-def test_an_id_that_is_still_open_is_answered_to_all_who_ask_once_the_counter_speaks() -> None:
+def test_a_repeat_of_a_pending_take_gets_the_reply_of_the_first_once_the_counter_answers() -> None:
     async def scenario(world: World) -> None:
         first, second = await world.client(), await world.client()
         assert (await first.ask(*take(b"z", 4)))[0] == 1
@@ -178,25 +184,25 @@
             client.send(*take(b"a", 4))
         assert await first.answer() == await second.answer()
 
-    on(scenario, perSecond=1.0, storeSize=4.0)
+    run_scenario(scenario, perSecond=1.0, storeSize=4.0)
 
 
-def test_questions_in_flight_at_sigterm_get_one_answer_each() -> None:
+def test_pending_limit_requests_get_one_reply_each_when_the_process_shuts_down() -> None:
     async def scenario(world: World) -> None:
         client = await world.client()
-        front = world.node.limit_commands  # type: ignore[union-attr]
-        assert front
-        front.door.feed = lambda event: None  # the module says nothing any more
+        commands = world.node.limit_commands  # type: ignore[union-attr]
+        assert commands
+        commands.daemon.feed = lambda event: None  # the policy no longer answers
         client.send(*take(b"a"))
-        await until(lambda: front.pending)
+        await until(lambda: commands.pending)
         world.node.answer_all()  # type: ignore[union-attr]
-        assert not front.pending and not front.ledger.taken, "the id is free again"
+        assert not commands.pending and not commands.ledger.records, "the id must be usable again"
         assert "timed out" in str(await client.answer())
 
-    on(scenario)
+    run_scenario(scenario)
 
 
-def test_bad_input_gets_an_error_and_the_guards_of_clients_hold() -> None:
+def test_invalid_commands_get_an_error_and_too_many_close_the_connection() -> None:
     async def scenario(world: World) -> None:
         client = await world.client()
         await client.ask(*take(b"ok"))
@@ -213,24 +219,26 @@
             while True:
                 await client.answer()
 
-    on(scenario)
+    run_scenario(scenario)
 
 
-def test_more_questions_than_may_be_open_are_refused_at_once() -> None:
+def test_a_request_beyond_the_pending_limit_is_refused_at_once() -> None:
     async def scenario(world: World) -> None:
-        front = world.node.limit_commands  # type: ignore[union-attr]
-        assert front
-        client, late = await world.client(), await world.client()
-        feed, front.door.feed = front.door.feed, lambda event: None
+        commands = world.node.limit_commands  # type: ignore[union-attr]
+        assert commands
+        client, other_client = await world.client(), await world.client()
+        original_feed, commands.daemon.feed = commands.daemon.feed, lambda event: None
         client.send(*take(b"a"))
-        await until(lambda: front.pending)
-        assert await late.ask(*take(b"b")) == [0, 0, 1000]
-        front.door.feed = feed
+        await until(lambda: commands.pending)
+        assert await other_client.ask(*take(b"b")) == [0, 0, 1000]
+        commands.daemon.feed = original_feed
 
-    on(scenario, Limits(most_open=1))
+    run_scenario(scenario, Limits(most_open=1))
 
 
-def test_users_secrets_commands_and_customers(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_users_need_their_secret_and_are_limited_to_their_commands_and_customers(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     (tmp_path / "secret").write_text("correct horse\n")
     monkeypatch.setenv("DESK", "battery staple")
     users = (
@@ -241,7 +249,7 @@
     async def scenario(world: World) -> None:
         client = await world.client()
         assert "NOAUTH" in str(await client.ask(*take(b"a")))
-        assert await client.ask(*query(1)) == b"value", "forwarded traffic needs no user"
+        assert await client.ask(*query(1)) == b"value", "forwarded requests need no authentication"
         assert "WRONGPASS" in str(await client.ask(b"AUTH", b"desk", b"correct horse"))
         assert "WRONGPASS" in str(await client.ask(b"AUTH", b"nobody", b""))
         assert await client.ask(b"AUTH", b"desk", b"battery staple") == b"OK"
@@ -257,35 +265,35 @@
             assert "WRONGPASS" in str(await client.ask(b"AUTH", b"guess"))
         assert "too many wrong secrets" in str(await client.ask(b"AUTH", b"guess"))
 
-    on(scenario, Limits(users=users))
+    run_scenario(scenario, Limits(users=users))
 
 
 @pytest.mark.parametrize(
-    ("user", "why"),
+    ("user", "reason"),
     [(LimitUser(name="a"), "name secret_file or secret_env"),
      (LimitUser(name="a", secret_env="NONE"), "0 bytes"),
      (LimitUser(name="a", secret_file="/none/x"), "No such file")],
 )  # fmt: skip
-def test_a_user_without_a_secret_is_told_and_no_secret_is(user: LimitUser, why: str) -> None:
-    with pytest.raises(OptionsError, match=f"limits.users: a: .*{why}"):
+def test_a_user_without_a_usable_secret_is_an_error_that_names_the_user(user: LimitUser, reason: str) -> None:
+    with pytest.raises(OptionsError, match=f"limits.users: a: .*{reason}"):
         Users([user], {})
 
 
-def test_the_ledger_forgets_by_time_and_number_the_oldest_first() -> None:
-    ledger = Ledger(keep_ns=10, most=3)
+def test_the_ledger_evicts_expired_records_and_the_oldest_beyond_its_limit() -> None:
+    ledger = Ledger(keep_ns=10, max_ids=3)
     for n in range(5):
-        ledger.open(n, (None, b"%d" % n), (), 1)
-    assert [key[1] for key in ledger.taken] == [b"2", b"3", b"4"]
+        ledger.add(n, (None, b"%d" % n), (), 1)
+    assert [key[1] for key in ledger.records] == [b"2", b"3", b"4"]
     assert ledger.find(11, (None, b"2")) and not ledger.find(12, (None, b"2"))
-    assert not ledger.find(5, (b"other", b"4")), "ids belong to a user"
-    ledger.open(14, (None, b"5"), (), 1)
-    assert [key[1] for key in ledger.taken] == [b"5"]
+    assert not ledger.find(5, (b"other", b"4")), "each user has its own ids"
+    ledger.add(14, (None, b"5"), (), 1)
+    assert [key[1] for key in ledger.records] == [b"5"]
 
 
-# One core
+# Same decisions as forwarding
 
 
-def test_a_take_leaves_nothing_behind_and_keeps_to_the_ceiling() -> None:
+def test_a_take_leaves_no_state_behind_and_respects_the_ceiling() -> None:
     ceiling = replace(SETTINGS.plans[0], ceiling_rate=2.0, ceiling_burst=4.0)
     bench = Bench(replace(SETTINGS, limiters=1, has_counter=False, plans=(ceiling,)))
     bench.limiter.retry_tokens = 0.0
@@ -301,30 +309,31 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(seed=st.integers(0, 1 << 32), size=st.integers(1, 3), rate=st.sampled_from([0.5, 4.0, 40.0]))
-def test_both_paths_come_to_the_same_decisions(seed: int, size: int, rate: float) -> None:
-    """200 arrivals an example, 12,000 in all: forwarded at one limiter, taken at its twin, one frozen
-    clock."""
+def test_takes_and_forwarded_requests_get_the_same_decisions(seed: int, size: int, rate: float) -> None:
+    """200 arrivals per example, 12,000 in all: one limiter forwards what an identical one gets as takes.
+
+    Both run on the same simulated clock. A difference would let clients evade the quota on one path."""
     quota = replace(SETTINGS.plans[0], rate=rate, burst=max(4.0, 2 * rate))
-    told = replace(SETTINGS, limiters=size, plans=(quota,), has_counter=size > 1)
-    forwards, takes = Bench(told, seed=seed), Bench(told, seed=seed)
-    chance = random.Random(seed)
+    shared_settings = replace(SETTINGS, limiters=size, plans=(quota,), has_counter=size > 1)
+    forwarding, taking = Bench(shared_settings, seed=seed), Bench(shared_settings, seed=seed)
+    random_source = random.Random(seed)
     for _ in range(200):
-        step_ns = round(chance.expovariate(1.3 * rate) * SECOND)
+        step_ns = round(random_source.expovariate(1.3 * rate) * SECOND)
         units, customer, total = (
-            float(chance.randint(1, 4)),
-            chance.randint(1, 2),
-            chance.uniform(0, quota.burst),
+            float(random_source.randint(1, 4)),
+            random_source.randint(1, 2),
+            random_source.uniform(0, quota.burst),
         )
-        fits = []
-        for bench, ask in ((forwards, api.RequestMode.FORWARD), (takes, api.RequestMode.TAKE)):
+        allowed = []
+        for bench, mode in ((forwarding, api.RequestMode.FORWARD), (taking, api.RequestMode.TAKE)):
             bench.advance(step_ns)
-            request = bench.request(customer, units=units, set_size=float(size), mode=ask)
+            request = bench.request(customer, units=units, set_size=float(size), mode=mode)
             while bench.pending_calls:
                 bench.answer_call(total)
             bench.advance(400 * MS)
             if bench.was_sent(request):
                 bench.end_attempt(request)
-            fits.append(
+            allowed.append(
                 bench.was_sent(request) or isinstance(bench.final_answers.get(request), api.QuotaAnswer)
             )
-        assert fits[0] == fits[1]
+        assert allowed[0] == allowed[1]
