--- a/hookport/config.py
+++ b/hookport/config.py
@@ -50,7 +50,7 @@
     settings: api.Settings
     peer_listen: Address | None = None
     peers: tuple[Address, ...] = ()  # indexed by limiter, including this one
-    peers_all: Address | None = None
+    peers_all: Address | None = None  # an address that reaches all limiters at once
     options: Options | None = None  # None disables all optional features
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -37,9 +37,9 @@
     """A counter stub that returns real totals."""
     totals: dict[bytes, float] = {}
 
-    async def count(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
-        totals[words[1]] = totals.get(words[1], 0.0) + float(words[2])
-        text = b"%.7g" % totals[words[1]]
+    async def count(stub: Stub, args: list[bytes], writer: asyncio.StreamWriter) -> None:
+        totals[args[1]] = totals.get(args[1], 0.0) + float(args[2])
+        text = b"%.7g" % totals[args[1]]
         writer.write(b"$%d\r\n%s\r\n" % (len(text), text))
 
     return count
@@ -106,14 +106,14 @@
         assert await client.ask(b"CLIENT", b"GETNAME") == b"me"
         assert await client.ask(b"COMMAND", b"DOCS") in ({}, [])
         assert await client.ask(b"COMMAND") == []
-        for words, text in (
+        for args, text in (
             ((b"HELLO", b"4"), "NOPROTO"), ((b"HELLO", b"3", b"X"), "Syntax error"),
             ((b"SELECT", b"1"), "out of range"),
             ((b"CLIENT", b"SETNAME", b"a b"), "cannot contain"), ((b"CLIENT", b"KILL"), "unknown subcommand"),
             ((b"CLIENT", b"SETINFO", b"X", b"y"), "Unrecognized"), ((b"GET", b"k"), "unknown command"),
             ((b"AUTH", b"pw"), "WRONGPASS"), ((b"ECHO",), "wrong number"),
         ):  # fmt: skip
-            assert text in str(await client.ask(*words)), words
+            assert text in str(await client.ask(*args)), args
         assert await client.ask(b"RESET") == b"RESET"
         assert await client.ask(b"CLIENT", b"GETNAME") is None
         assert await client.ask(b"QUIT") == b"OK"
@@ -129,13 +129,13 @@
     async def scenario() -> None:
         async with World(serve) as world:
             await world.start()
-            for words, reply in (
+            for args, reply in (
                 ((b"HELLO", b"3"), b"-ERR unknown command\r\n"),
                 ((b"LIMIT.TAKE",), b"-ERR unknown command\r\n"),
                 ((b"PING", b"x"), b"-ERR wrong number of arguments\r\n"), ((b"CLIENT", b"ID"), b"+OK\r\n"),
             ):  # fmt: skip
                 reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
-                writer.write(hiredis.pack_command(words))  # type: ignore[arg-type,no-untyped-call]
+                writer.write(hiredis.pack_command(args))  # type: ignore[arg-type,no-untyped-call]
                 assert await soon(reader.readline()) == reply
                 writer.close()
 
@@ -206,13 +206,13 @@
     async def scenario(world: World) -> None:
         client = await world.client()
         await client.ask(*take(b"ok"))
-        for words in (
+        for args in (
             (b"LIMIT.TAKE",), take(b"a", 5), take(b"a b"), take(b"a", customer=b"x"), (b"LIMIT.GIVE",),
             (b"LIMIT.TAKE", CUSTOMER, b"a", b"c=lookup,t=team,units=-1"),
             (b"LIMIT.TAKE", CUSTOMER, b"a", b"units=1e300"),
             (b"LIMIT.TAKE", CUSTOMER, b"a", b"c=lookup,t=team,d=0"),
         ):  # fmt: skip
-            assert isinstance(await client.ask(*words), Exception), words
+            assert isinstance(await client.ask(*args), Exception), args
         for _ in range(16):
             client.send(b"LIMIT.TAKE")
         with pytest.raises(EOFError):
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -12,8 +12,8 @@
 from world import VALUE, Stub, World, query, saying, serve, soon, submit, until
 
 
-async def hold_submits(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
-    if words[0] == b"SVC.SUBMIT":
+async def hold_submits(stub: Stub, args: list[bytes], writer: asyncio.StreamWriter) -> None:
+    if args[0] == b"SVC.SUBMIT":
         await stub.release.wait()
     writer.write(VALUE)
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -41,7 +41,7 @@
     asyncio.run(scenario())
 
 
-async def never_answer(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
+async def never_answer(stub: Stub, args: list[bytes], writer: asyncio.StreamWriter) -> None:
     pass
 
 
