--- a/hookport/membership/command.py
+++ b/hookport/membership/command.py
@@ -11,10 +11,10 @@
 
 from aniseshed.interface import Health, ListKind, ServerList
 from hookport.config import Names
-from hookport.membership import kept as form
+from hookport.membership import snapshot_codec as form
 from hookport.membership.curve import SECOND_NS, TrustCurve
-from hookport.membership.files import Local
 from hookport.membership.fleet import FleetView
+from hookport.membership.snapshot_file import Local
 
 NOBODY = Names({}, {}, {}, {})
 ALL_NS = 1 << 62
--- a/hookport/membership/members.py
+++ b/hookport/membership/members.py
@@ -16,11 +16,11 @@
 
 from aniseshed.interface import ListKind, Outcome, ServerList, Trust
 from hookport.config import Address, Names
-from hookport.membership import kept as form
-from hookport.membership import words
+from hookport.membership import messages as words
+from hookport.membership import snapshot_codec as form
 from hookport.membership.curve import DEFAULT, SECOND_NS, TrustCurve, TrustPoint
-from hookport.membership.files import File
 from hookport.membership.fleet import FleetView, State, Update
+from hookport.membership.snapshot_file import File
 from hookport.options import Membership
 
 log = logging.getLogger("hookport.membership")
--- a/hookport/membership/files.py
+++ b/hookport/membership/snapshot_file.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from hookport.config import Names
-from hookport.membership import kept as form
+from hookport.membership import snapshot_codec as form
 from hookport.membership.fleet import Snapshot
 
 
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -12,7 +12,7 @@
 
 from aniseshed.interface import Health, ListKind, Outcome, ServerEntry, ServerList, Trust
 from aniseshed.state import Server, apply_server_list
-from hookport.membership import words
+from hookport.membership import messages as words
 from hookport.membership.curve import DEFAULT, SECOND_NS, TrustCurve, TrustPoint
 from hookport.membership.fleet import (
     GONE_NS,
--- a/tests/test_kept_list.py
+++ b/tests/test_kept_list.py
@@ -18,10 +18,10 @@
 from aniseshed.interface import Health, ListKind, ServerList
 from hookport.cli import main
 from hookport.config import Names
-from hookport.membership import kept as form
+from hookport.membership import snapshot_codec as form
 from hookport.membership.curve import SECOND_NS, TrustCurve
-from hookport.membership.files import File
 from hookport.membership.fleet import FleetView, Gone, Snapshot
+from hookport.membership.snapshot_file import File
 from hookport.options import OptionsError, load, parse, schema
 
 NAMES = Names({}, {}, {"": 0}, {"": 0})
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -19,8 +19,8 @@
 from aniseshed.interface import Health, ServerEntry, Trust
 from hookport import config
 from hookport.config import Names
-from hookport.membership import kept as form
-from hookport.membership import words
+from hookport.membership import messages as words
+from hookport.membership import snapshot_codec as form
 from hookport.membership.fleet import Snapshot, SnapshotEntry, State
 from hookport.options import Membership, Options
 
