--- a/hookport/membership/__init__.py
+++ b/hookport/membership/__init__.py
@@ -1,8 +1,9 @@
-"""What a limiter believes of the fleet when discovery cannot tell it, from where, and how far.
+"""One limiter's view of the desk servers, also while discovery is unavailable: the source and age of each
+entry, and how far the entry is trusted.
 
-``curve`` and ``fleet`` decide, without I/O and without a clock; ``kept`` is the form of the list on disk,
-``words`` that of the datagrams between limiters; ``files`` and ``members`` put them on a disk and into the
-daemon."""
+``curve`` and ``fleet`` decide, without I/O and without a clock.  ``snapshot_codec`` defines the format of the
+list on disk, ``messages`` that of the datagrams between limiters.  ``snapshot_file`` does the disk I/O, and
+``members`` connects the package to the daemon."""
 
 from hookport.membership.curve import TrustCurve, TrustPoint
 from hookport.membership.fleet import FleetView, Gone, Report, Snapshot, SnapshotEntry, Source, Update
--- a/hookport/membership/command.py
+++ b/hookport/membership/command.py
@@ -11,10 +11,10 @@
 
 from aniseshed.interface import Health, ListKind, ServerList
 from hookport.config import Names
-from hookport.membership import snapshot_codec as form
+from hookport.membership import snapshot_codec
 from hookport.membership.curve import SECOND_NS, TrustCurve
 from hookport.membership.fleet import FleetView
-from hookport.membership.snapshot_file import Local
+from hookport.membership.snapshot_file import LocalFileSystem
 
 NOBODY = Names({}, {}, {}, {})
 ALL_NS = 1 << 62
@@ -26,8 +26,8 @@
     parser.add_argument("file", help="the list: the path of the options, or the same with .old behind it")
     told = parser.parse_args(arguments)
     try:
-        kept = form.read(Local().read(told.file), NOBODY)
-    except (OSError, form.KeptError) as error:
+        kept = snapshot_codec.decode(LocalFileSystem().read(told.file), NOBODY)
+    except (OSError, snapshot_codec.SnapshotError) as error:
         why = error.strerror if isinstance(error, OSError) else error
         print(f"hookport kept: {told.file}: {why}; remove it to start without it", file=sys.stderr)
         return 2
--- a/hookport/membership/curve.py
+++ b/hookport/membership/curve.py
@@ -1,8 +1,8 @@
-"""How far a server is trusted by the age of what vouches for it: a table, and what lies between its rows.
+"""Trust in a server by the age of the information about it: a table with interpolation between its rows.
 
-Between two rows the part and the answers follow the logarithm of the age: what happens to a fleet in the
-second minute weighs as much as what happens in its second hour.  So a list that is one second older is never
-worth much less, except where claims end: that is a promise, and a promise has an edge."""
+``open_part`` and ``answers`` are interpolated over the logarithm of the age, because a fleet changes about as
+much in its second minute as in its second hour.  So one more second of age never costs much trust, except
+where ``claims`` ends: it is a yes or no, which has to end at a fixed age."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TrustPoint:
-    """What holds at one age.
+    """The rules for servers whose information has a given age.
 
-    ``age_s``: seconds since somebody vouched for the server; ``open_part``: of the list, from 0 to 1, that is
-    tried at one time before it has proved itself; ``answers``: good answers that prove a server, 0 if it
-    needs none; ``claims``: whether a server may get requests that are not safe to repeat before it has proved
-    itself."""
+    ``age_s``: seconds since a source last confirmed the server; ``open_part``: the share of the list, from 0
+    to 1, that may be on trial at one time, that is, get requests before it has proved itself; ``answers``:
+    the number of good answers that prove a server, 0 if it needs none; ``claims``: whether a server on trial
+    may get requests that are not safe to repeat."""
 
     age_s: float
     open_part: float
@@ -28,8 +28,8 @@
     claims: bool
 
 
-# Reasons, row by row: docs/design/kept-list.md.
-DEFAULT = (
+# docs/design/kept-list.md gives the reasons for each row.
+DEFAULT_POINTS = (
     TrustPoint(5, 1.0, 0, True),
     TrustPoint(60, 1.0, 1, True),
     TrustPoint(600, 0.5, 1, False),
@@ -40,11 +40,11 @@
 
 
 class TrustCurve:
-    """A table of points, by age; raises ValueError with what is wrong in it."""
+    """A table of points in order of age; raises ValueError that says what is wrong in it."""
 
-    def __init__(self, points: Sequence[TrustPoint] = DEFAULT) -> None:
+    def __init__(self, points: Sequence[TrustPoint] = DEFAULT_POINTS) -> None:
         if not points:
-            raise ValueError("the table is empty: it needs a row at least")
+            raise ValueError("the trust table is empty: at least one row is required")
         for n, point in enumerate(points):
             if (
                 not 0 < point.open_part <= 1
@@ -52,29 +52,39 @@
                 or not 0 < point.age_s < math.inf
             ):
                 raise ValueError(
-                    f"row {n}: age_s above 0, open_part above 0 and up to 1, answers from 0 to 100: {point}"
+                    f"row {n}: age_s must be above 0 and finite, open_part above 0 and at most 1, "
+                    f"answers from 0 to 100, but the row is {point}"
+                )
+        for n, (younger, older) in enumerate(zip(points, points[1:], strict=False), 1):
+            if older.age_s <= younger.age_s:
+                raise ValueError(
+                    f"row {n}: age_s {older.age_s:g} must be greater than {younger.age_s:g} of the row before"
+                )
+            if (
+                older.open_part > younger.open_part
+                or older.answers < younger.answers
+                or older.claims > younger.claims
+            ):
+                raise ValueError(
+                    f"row {n}: an older list must not be trusted more than one of {younger.age_s:g} s"
                 )
-        for n, (young, old) in enumerate(zip(points, points[1:], strict=False), 1):
-            if old.age_s <= young.age_s:
-                raise ValueError(f"row {n}: age_s {old.age_s:g} does not come after {young.age_s:g}")
-            if old.open_part > young.open_part or old.answers < young.answers or old.claims > young.claims:
-                raise ValueError(f"row {n}: an older list would be trusted further than at {young.age_s:g} s")
         self.points = tuple(points)
 
     def at(self, age_ns: int) -> TrustPoint:
-        """What holds at an age in nanoseconds; one below 0 comes from a clock that was wrong, and is the
-        oldest."""
+        """The rules at an age in nanoseconds.
+
+        A negative age comes from a wrong clock and is treated as the greatest age of the table."""
         points, age_s = self.points, age_ns / SECOND_NS
         if age_s < 0 or age_s >= points[-1].age_s:
             return points[-1]
         if age_s <= points[0].age_s:
             return points[0]
         n = next(n for n, point in enumerate(points) if point.age_s >= age_s)
-        young, old = points[n - 1], points[n]
-        way = math.log(age_s / young.age_s) / math.log(old.age_s / young.age_s)
+        younger, older = points[n - 1], points[n]
+        fraction = math.log(age_s / younger.age_s) / math.log(older.age_s / younger.age_s)
         return TrustPoint(
             age_s,
-            young.open_part + way * (old.open_part - young.open_part),
-            math.ceil(young.answers + way * (old.answers - young.answers) - 1e-9),
-            old.claims,  # the stricter: no claim is let through by an age that lies between
+            younger.open_part + fraction * (older.open_part - younger.open_part),
+            math.ceil(younger.answers + fraction * (older.answers - younger.answers) - 1e-9),
+            older.claims,  # the stricter of the two rows, so that interpolation never permits a claim
         )
--- a/hookport/membership/members.py
+++ b/hookport/membership/members.py
@@ -16,11 +16,10 @@
 
 from aniseshed.interface import ListKind, Outcome, ServerList, Trust
 from hookport.config import Address, Names
-from hookport.membership import messages as words
-from hookport.membership import snapshot_codec as form
-from hookport.membership.curve import DEFAULT, SECOND_NS, TrustCurve, TrustPoint
+from hookport.membership import messages, snapshot_codec
+from hookport.membership.curve import DEFAULT_POINTS, SECOND_NS, TrustCurve, TrustPoint
 from hookport.membership.fleet import FleetView, State, Update
-from hookport.membership.snapshot_file import File
+from hookport.membership.snapshot_file import SnapshotFile
 from hookport.options import Membership
 
 log = logging.getLogger("hookport.membership")
@@ -64,7 +63,7 @@
         now_ns: Callable[[], int],
         may_probe: bool,
         seed: int,
-        file: File | None = None,
+        file: SnapshotFile | None = None,
     ) -> None:
         self.loop, self.options, self.names, self.door, self.now_ns = loop, options, names, door, now_ns
         self.may_probe, self.random = may_probe, random.Random(seed)
@@ -73,12 +72,12 @@
             options.fleet or fleet,
             index,
             limiters,
-            TrustCurve(rows or DEFAULT),
+            TrustCurve(rows or DEFAULT_POINTS),
             round(options.forget_s * SECOND_NS),
             options.loss_part,
             round(options.doubt_s * SECOND_NS),
         )
-        self.file = file or File(options.path.replace("{name}", name))
+        self.file = file or SnapshotFile(options.path.replace("{name}", name))
         self.discovery: Watched | None = None
         self.digests: dict[bytes, bytes] = {}
         self.probes: dict[bytes, float] = {}  # by server: when it was probed last
@@ -151,13 +150,15 @@
     def receive_message(self, payload: bytes) -> None:
         """A datagram of this kind came."""
         now_s = self.loop.time()
-        if payload == words.ASK:
-            if now_s - self.word_s >= WORD_S and (said := words.tell(self.fleet.drained(self.now_ns()))):
+        if payload == messages.QUERY:
+            if now_s - self.word_s >= WORD_S and (
+                report := messages.encode_report(self.fleet.drained(self.now_ns()))
+            ):
                 self.word_s = now_s
-                self.door.send_to_peers(None, said)
+                self.door.send_to_peers(None, report)
             return
-        if drained := words.read(payload):
-            self.digests = {s: self.digests.get(s) or words.digest(s) for s in self.fleet.beliefs}
+        if drained := messages.decode_report(payload):
+            self.digests = {s: self.digests.get(s) or messages.server_digest(s) for s in self.fleet.beliefs}
             if update := self.fleet.warned(self.now_ns(), drained, self.digests):
                 log.warning("other limiters say that %d servers drain or have gone",
                             sum(b.warned for b in self.fleet.beliefs.values()))  # fmt: skip
@@ -167,7 +168,7 @@
         """Tell the others what has drained since the last word."""
         if self.fleet.news and self.loop.time() - self.word_s >= WORD_S:
             self.word_s = self.loop.time()
-            said = words.tell(sorted(self.fleet.news))
+            said = messages.encode_report(sorted(self.fleet.news))
             self.fleet.news.clear()
             self.door.send_to_peers(None, said)
 
@@ -185,7 +186,7 @@
                 self.probe()
             if self.fleet.state in (State.KEPT, State.CONFIGURATION) and now_s >= self.ask_s:
                 self.ask_s = now_s + self.jittered_wait_s(ASK_S)
-                self.door.send_to_peers(None, words.ASK)
+                self.door.send_to_peers(None, messages.QUERY)
         self.spread_word()
         if now_s >= self.again_s and (self.dirty or now_s - self.saved_s >= self.options.refresh_s):
             self.save()
@@ -209,7 +210,7 @@
         if self.writing or not self.fleet.taken:
             return
         self.dirty = False
-        data = form.write(self.fleet.kept(self.now_ns()), self.names)
+        data = snapshot_codec.encode(self.fleet.kept(self.now_ns()), self.names)
         self.again_s = self.loop.time() + self.options.write_s
         self.writing = self.loop.run_in_executor(None, self.file.save, data)
         self.writing.add_done_callback(self.saved)
--- a/hookport/membership/snapshot_codec.py
+++ b/hookport/membership/snapshot_codec.py
@@ -1,11 +1,11 @@
-"""The kept list as bytes: one line that vouches for the rest, then JSON in discovery's form.
+"""The file format of a snapshot of the server list: one header line, then JSON in discovery's form.
 
     hookport-kept 1 CRC LENGTH
     {"fleet": ..., "generation": ..., "saved_ns": ..., "servers": [...], "gone": {...}}
 
-``CRC`` is the CRC-32 (zlib's) of the JSON in 8 hex digits and ``LENGTH`` its bytes.  A list is used whole or
-not at all: one server fewer than was written could be one that drains.  Names of zones and kinds are kept,
-not their positions, which a new configuration may move."""
+``CRC`` is the CRC-32 (zlib's) of the JSON in 8 hex digits and ``LENGTH`` the size of the JSON in bytes.  A
+snapshot is used whole or not at all, because an entry that is missing could be one of a server that drains.
+Zones and machine types are stored by name, since a new configuration may change their positions."""
 
 from __future__ import annotations
 
@@ -20,93 +20,106 @@
 from hookport.discovery import HEALTHS, read_entry
 from hookport.membership.fleet import MOST_GONE, MOST_SERVERS, Gone, Snapshot, SnapshotEntry
 
-VERSION = 1
-LARGEST = 16 << 20  # bytes of a file that is read at all
-HEAD = re.compile(rb"hookport-kept (\d{1,9}) ([0-9a-f]{8}) (\d{1,9})\n")
-LATEST_NS = 1 << 62
-STATES = {health: name for name, health in HEALTHS.items()}
+FORMAT_VERSION = 1
+MAX_FILE_BYTES = 16 << 20  # larger files are rejected
+HEADER = re.compile(rb"hookport-kept (\d{1,9}) ([0-9a-f]{8}) (\d{1,9})\n")
+MAX_INTEGER = 1 << 62  # of generations and times in nanoseconds
+LIFECYCLE_BY_HEALTH = {health: name for name, health in HEALTHS.items()}
 
 
-class KeptError(Exception):
-    """A file that cannot be used; the text says why, and what would do."""
+class SnapshotError(Exception):
+    """A file that cannot be used as a snapshot; the text names the reason."""
 
 
-def write(kept: Snapshot, names: Names) -> bytes:
-    """The bytes of a list."""
+def encode(snapshot: Snapshot, names: Names) -> bytes:
+    """The contents of the file for a snapshot."""
     zones, kinds = ({at: name for name, at in each.items()} for each in (names.zones, names.kinds))
-    told = {
-        "fleet": kept.fleet,
-        "generation": kept.generation,
-        "saved_ns": kept.saved_ns,
-        "servers": [row(held, zones, kinds) for held in kept.servers],
+    document = {
+        "fleet": snapshot.fleet,
+        "generation": snapshot.generation,
+        "saved_ns": snapshot.saved_ns,
+        "servers": [encode_entry(saved, zones, kinds) for saved in snapshot.servers],
         "gone": {
             server.decode(): [gone.told_ns, gone.generation, gone.born_ns]
-            for server, gone in kept.gone.items()
+            for server, gone in snapshot.gone.items()
         },
     }
-    body = json.dumps(told, separators=(",", ":")).encode() + b"\n"
-    return b"hookport-kept %d %08x %d\n" % (VERSION, zlib.crc32(body), len(body)) + body
+    body = json.dumps(document, separators=(",", ":")).encode() + b"\n"
+    return b"hookport-kept %d %08x %d\n" % (FORMAT_VERSION, zlib.crc32(body), len(body)) + body
 
 
-def row(held: SnapshotEntry, zones: Mapping[int, str], kinds: Mapping[int, str]) -> dict[str, Any]:
-    entry = held.entry
+def encode_entry(saved: SnapshotEntry, zones: Mapping[int, str], kinds: Mapping[int, str]) -> dict[str, Any]:
+    entry = saved.entry
     return {
         "instanceId": entry.server.decode(),
-        "hostPort": f"{held.address[0]}:{held.address[1]}",
+        "hostPort": f"{saved.address[0]}:{saved.address[1]}",
         "zone": zones.get(entry.zone, ""),
         "machineType": kinds.get(entry.kind, ""),
         "cell": entry.cell,
-        "lifecycle": STATES[entry.health],
+        "lifecycle": LIFECYCLE_BY_HEALTH[entry.health],
         "weight": entry.weight,
         "startedAtMs": entry.started_ns // 1_000_000,
-        "generation": held.generation,
-        "toldNs": held.confirmed_ns,
-        "heardNs": held.answered_ns,
+        "generation": saved.generation,
+        "toldNs": saved.confirmed_ns,
+        "heardNs": saved.answered_ns,
     }
 
 
-def read(data: bytes, names: Names) -> Snapshot:
-    """A list from its bytes; raises KeptError on whatever is not one whole list as it was written."""
-    head = HEAD.match(data)
-    if head is None:
-        raise KeptError("it is empty" if not data else "it does not begin as a kept list does")
-    version, crc, length = int(head[1]), int(head[2], 16), int(head[3])
-    if version != VERSION:
-        raise KeptError(f"it has version {version}, this program reads {VERSION}")
-    body = data[head.end() :]
+def decode(data: bytes, names: Names) -> Snapshot:
+    """A snapshot from the contents of a file; raises SnapshotError unless the file is complete and valid."""
+    header = HEADER.match(data)
+    if header is None:
+        raise SnapshotError(
+            "the file is empty" if not data else "the file does not begin with the header of a saved list"
+        )
+    version, crc, length = int(header[1]), int(header[2], 16), int(header[3])
+    if version != FORMAT_VERSION:
+        raise SnapshotError(
+            f"the file has format version {version}, this program reads version {FORMAT_VERSION}"
+        )
+    body = data[header.end() :]
     if len(body) != length:
-        raise KeptError(f"it has {len(body)} of {length} bytes: it was not written to its end")
+        raise SnapshotError(f"the file has {len(body)} of {length} bytes: it was not written completely")
     if zlib.crc32(body) != crc:
-        raise KeptError("its checksum is wrong: it was damaged after it was written")
+        raise SnapshotError("the file's checksum is wrong: it was damaged after it was written")
     try:
-        told = json.loads(body)
-        servers = tuple(held(each, names) for each in told["servers"])
+        document = json.loads(body)
+        servers = tuple(decode_entry(row, names) for row in document["servers"])
         gone = {
-            server.encode(): Gone(moment(at), number(generation), moment(born))
-            for server, (at, generation, born) in told["gone"].items()
+            server.encode(): Gone(parse_time_ns(at), parse_integer(generation), parse_time_ns(born))
+            for server, (at, generation, born) in document["gone"].items()
         }
         if len(servers) > MOST_SERVERS or len(gone) > MOST_GONE + MOST_SERVERS:
-            raise ValueError(f"{len(servers)} servers, {len(gone)} gone")
+            raise ValueError(f"too many entries: {len(servers)} servers, {len(gone)} gone")
         return Snapshot(
-            str(told["fleet"]), number(told["generation"]), moment(told["saved_ns"]), servers, gone
+            str(document["fleet"]),
+            parse_integer(document["generation"]),
+            parse_time_ns(document["saved_ns"]),
+            servers,
+            gone,
         )
     except Exception as error:
-        raise KeptError(f"it holds no list of servers: {type(error).__name__}: {error}") from error
+        raise SnapshotError(f"the file has no valid server list: {type(error).__name__}: {error}") from error
 
 
-def held(told: dict[str, Any], names: Names) -> SnapshotEntry:
-    entry, place = read_entry(told, names)
+def decode_entry(row: dict[str, Any], names: Names) -> SnapshotEntry:
+    entry, address = read_entry(row, names)
     if entry.health is Health.GONE:
-        raise ValueError(f"{entry.server!r:.40} is gone: only servers are listed")
+        raise ValueError(f"server {entry.server!r:.40} is deleted and must not be among the servers")
     return SnapshotEntry(
-        entry, place, number(told["generation"]), moment(told["toldNs"]), moment(told["heardNs"])
+        entry,
+        address,
+        parse_integer(row["generation"]),
+        parse_time_ns(row["toldNs"]),
+        parse_time_ns(row["heardNs"]),
     )
 
 
-def number(told: object) -> int:
-    if not isinstance(told, int) or isinstance(told, bool) or not 0 <= told <= LATEST_NS:
-        raise ValueError(f"no count: {told!r:.40}")
-    return told
+def parse_integer(value: object) -> int:
+    """Check an integer from 0 to MAX_INTEGER; raises ValueError."""
+    if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value <= MAX_INTEGER:
+        raise ValueError(f"not an integer from 0 to 2^62: {value!r:.40}")
+    return value
 
 
-moment = number  # Unix nanoseconds
+parse_time_ns = parse_integer  # Unix time in nanoseconds
--- a/hookport/membership/snapshot_file.py
+++ b/hookport/membership/snapshot_file.py
@@ -1,10 +1,11 @@
-"""The kept list on a disk: replaced whole, with the one before it beside it, and never on the loop.
+"""The snapshot of the server list on disk: replaced atomically, with the previous one beside it, and written
+outside the event loop.
 
-A list is written to a new file, which is synced before it takes the place of the old one; the old one keeps
-its contents as ``NAME.old`` until the next time.  Whatever is cut off where, one of the two is whole.  A sync
-that fails is never tried again on the same file, as the page cache may have dropped what it could not write
-(Rebello et al., "Can Applications Recover from fsync Failures?", USENIX ATC 2020): the next list goes to a
-new file."""
+A snapshot is written to a new file, which is synced before it replaces the current one; the current one stays
+as ``NAME.old`` until the next save.  Wherever the process or the machine stops, one of the two is complete.
+A sync that fails is never retried on the same file, since the page cache may have dropped the pages that it
+could not write (Rebello et al., "Can Applications Recover from fsync Failures?", USENIX ATC 2020): the next
+snapshot goes to a new file."""
 
 from __future__ import annotations
 
@@ -13,81 +14,89 @@
 from typing import Protocol
 
 from hookport.config import Names
-from hookport.membership import snapshot_codec as form
+from hookport.membership import snapshot_codec
 from hookport.membership.fleet import Snapshot
 
 
-class Disk(Protocol):
-    """What is asked of a file system; ``Local`` is the real one, tests put one in its place that fails."""
+class FileSystem(Protocol):
+    """The operations that ``SnapshotFile`` needs; tests inject implementations that fail."""
 
     def read(self, path: str) -> bytes: ...
     def write(self, path: str, data: bytes) -> None: ...
     def rename(self, path: str, to: str) -> None: ...
-    def sync_folder(self, path: str) -> None: ...
+    def sync_directory(self, path: str) -> None: ...
 
 
-class Local:
-    """The file system of the machine; each call raises OSError."""
+class LocalFileSystem:
+    """The file system of the machine; each method raises OSError."""
 
     def read(self, path: str) -> bytes:
+        """The contents, at most one byte more than a snapshot may have."""
         with open(path, "rb") as file:
-            return file.read(form.LARGEST + 1)
+            return file.read(snapshot_codec.MAX_FILE_BYTES + 1)
 
     def write(self, path: str, data: bytes) -> None:
         """Write and sync a new file."""
         with contextlib.suppress(FileNotFoundError):
             os.unlink(path)
-        number = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
+        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
         try:
             view = memoryview(data)
             while view:
-                view = view[os.write(number, view) :]
-            os.fsync(number)
+                view = view[os.write(descriptor, view) :]
+            os.fsync(descriptor)
         finally:
-            os.close(number)
+            os.close(descriptor)
 
     def rename(self, path: str, to: str) -> None:
         os.replace(path, to)
 
-    def sync_folder(self, path: str) -> None:
-        number = os.open(os.path.dirname(path) or ".", os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+    def sync_directory(self, path: str) -> None:
+        """Sync the directory that contains ``path``, so that renames in it last."""
+        descriptor = os.open(os.path.dirname(path) or ".", os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
-            os.fsync(number)
+            os.fsync(descriptor)
         finally:
-            os.close(number)
+            os.close(descriptor)
 
 
-class File:
-    """The list under one path, its predecessor under ``PATH.old``, and what is being written under
+class SnapshotFile:
+    """The snapshot at one path, the previous one at ``PATH.old``, and the one being written at
     ``PATH.new``."""
 
-    def __init__(self, path: str, disk: Disk | None = None) -> None:
-        self.path, self.disk = path, disk or Local()
+    def __init__(self, path: str, file_system: FileSystem | None = None) -> None:
+        self.path, self.file_system = path, file_system or LocalFileSystem()
 
     def save(self, data: bytes) -> None:
-        """Replace the list; raises OSError, and the list that was there is there still."""
+        """Replace the snapshot; raises OSError, after which the snapshot that was there can still be
+        loaded."""
         new = self.path + ".new"
-        self.disk.write(new, data)
+        self.file_system.write(new, data)
         with contextlib.suppress(FileNotFoundError):
-            self.disk.rename(self.path, self.path + ".old")
-        self.disk.rename(new, self.path)
-        self.disk.sync_folder(self.path)
+            self.file_system.rename(self.path, self.path + ".old")
+        self.file_system.rename(new, self.path)
+        self.file_system.sync_directory(self.path)
 
     def load(self, names: Names, fleet: str) -> tuple[Snapshot | None, list[str]]:
-        """The list, or its predecessor where it cannot be used, and what was found wrong, a line each."""
-        wrong = list[str]()
+        """The snapshot, or the previous one if it cannot be used, and one line for each file that was not
+        used; None if neither can be used."""
+        problems = list[str]()
         for path in (self.path, self.path + ".old"):
             try:
-                data = self.disk.read(path)
-                if len(data) > form.LARGEST:
-                    raise form.KeptError(f"it is larger than {form.LARGEST} bytes")
-                told = form.read(data, names)
-                if told.fleet != fleet:
-                    raise form.KeptError(f"it is of the fleet {told.fleet!r:.80}, this is {fleet!r:.80}")
-                return told, wrong
+                data = self.file_system.read(path)
+                if len(data) > snapshot_codec.MAX_FILE_BYTES:
+                    raise snapshot_codec.SnapshotError(
+                        f"the file is larger than {snapshot_codec.MAX_FILE_BYTES} bytes"
+                    )
+                snapshot = snapshot_codec.decode(data, names)
+                if snapshot.fleet != fleet:
+                    raise snapshot_codec.SnapshotError(
+                        f"the file is of fleet {snapshot.fleet!r:.80}, this limiter of {fleet!r:.80}"
+                    )
+                return snapshot, problems
             except FileNotFoundError:
                 continue
-            except (OSError, form.KeptError) as error:
-                why = error.strerror if isinstance(error, OSError) else error
-                wrong.append(f"the kept list {path} is not used: {why}")
-        return None, wrong
+            except (OSError, snapshot_codec.SnapshotError) as error:
+                reason = error.strerror if isinstance(error, OSError) else error
+                problems.append(f"the saved server list {path} is not used: {reason}")
+        return None, problems
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -12,8 +12,8 @@
 
 from aniseshed.interface import Health, ListKind, Outcome, ServerEntry, ServerList, Trust
 from aniseshed.state import Server, apply_server_list
-from hookport.membership import messages as words
-from hookport.membership.curve import DEFAULT, SECOND_NS, TrustCurve, TrustPoint
+from hookport.membership import messages
+from hookport.membership.curve import DEFAULT_POINTS, SECOND_NS, TrustCurve, TrustPoint
 from hookport.membership.fleet import (
     GONE_NS,
     HOLD_NS,
@@ -227,8 +227,8 @@
 
 def test_another_limiter_takes_trust_away_and_gives_none() -> None:
     believer = Believer().start(kept(10, entry(1), entry(2)))
-    said = words.read(words.tell([b"s-1", b"s-9"]))
-    digests = {s: words.digest(s) for s in believer.fleet.beliefs}
+    said = messages.decode_report(messages.encode_report([b"s-1", b"s-9"]))
+    digests = {s: messages.server_digest(s) for s in believer.fleet.beliefs}
     believer.take(believer.fleet.warned(believer.now, said, digests))
     assert (
         believer.trust(1) is Trust.NONE
@@ -243,20 +243,22 @@
 
 
 def test_words_fit_a_datagram_and_garbage_says_nothing() -> None:
-    many = words.tell(b"s-%d" % n for n in range(1000))
-    assert len(many) <= words.LARGEST and words.read(many)[0] == words.digest(b"s-0")
-    assert words.tell([]) == b""
+    many = messages.encode_report(b"s-%d" % n for n in range(1000))
+    assert len(many) <= messages.MAX_DATAGRAM_BYTES and messages.decode_report(many)[
+        0
+    ] == messages.server_digest(b"s-0")
+    assert messages.encode_report([]) == b""
     for bad in (many[:-1], many + b"x" * 8, b"here", b"F?", b"", b"\xff" * 300):
-        assert words.read(bad) == []
+        assert messages.decode_report(bad) == []
 
 
 @pytest.mark.parametrize(
     ("points", "why"),
     [([], "empty"), ([TrustPoint(0, 1, 0, True)], "row 0"), ([TrustPoint(1, 0, 0, True)], "row 0"),
-     ([TrustPoint(1, 1, 0, True), TrustPoint(1, 1, 0, True)], "row 1: age_s 1 does not come after 1"),
-     ([TrustPoint(1, 0.5, 0, True), TrustPoint(2, 1, 0, True)], "trusted further"),
-     ([TrustPoint(1, 1, 2, True), TrustPoint(2, 1, 1, True)], "trusted further"),
-     ([TrustPoint(1, 1, 0, False), TrustPoint(2, 1, 0, True)], "trusted further")],
+     ([TrustPoint(1, 1, 0, True), TrustPoint(1, 1, 0, True)], "row 1: age_s 1 must be greater than 1 of"),
+     ([TrustPoint(1, 0.5, 0, True), TrustPoint(2, 1, 0, True)], "row 1: an older list must not be trusted"),
+     ([TrustPoint(1, 1, 2, True), TrustPoint(2, 1, 1, True)], "row 1: an older list must not be trusted"),
+     ([TrustPoint(1, 1, 0, False), TrustPoint(2, 1, 0, True)], "row 1: an older list must not be trusted")],
 )  # fmt: skip
 def test_a_table_that_trusts_the_older_more_is_turned_away(points: list[TrustPoint], why: str) -> None:
     with pytest.raises(ValueError, match=why):
@@ -395,8 +397,8 @@
                 continue
             age_s = (now - fleet.vouched_ns(belief)) / SECOND_NS
             if trust is Trust.CAREFUL:
-                assert age_s <= DEFAULT[1].age_s
-            if trust is Trust.TOLD and age_s > DEFAULT[0].age_s:
+                assert age_s <= DEFAULT_POINTS[1].age_s
+            if trust is Trust.TOLD and age_s > DEFAULT_POINTS[0].age_s:
                 assert belief.answers >= 1 and belief.heard_ns > 0
         if not fleet.live and not any(b.absent_ns for b in fleet.beliefs.values()):
             assert len(tried) <= max(LEAST_OPEN, len(fleet.beliefs))
--- a/tests/test_kept_list.py
+++ b/tests/test_kept_list.py
@@ -1,4 +1,4 @@
-"""The kept list on disk: cut at every byte of every step, damaged in every way, and disks that fail."""
+"""The saved server list on disk: interrupted saves, damaged files, and disks that fail."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 from aniseshed.interface import Health, ListKind, ServerList
 from hookport.cli import main
 from hookport.config import Names
-from hookport.membership import snapshot_codec as form
+from hookport.membership import snapshot_codec
 from hookport.membership.curve import SECOND_NS, TrustCurve
 from hookport.membership.fleet import FleetView, Gone, Snapshot
-from hookport.membership.snapshot_file import File
+from hookport.membership.snapshot_file import SnapshotFile
 from hookport.options import OptionsError, load, parse, schema
 
 NAMES = Names({}, {}, {"": 0}, {"": 0})
 ROOT = Path(__file__).parent.parent
 
 
-class CutError(Exception):
-    """The power is gone."""
+class PowerLossError(Exception):
+    """The simulated machine lost power."""
 
 
-class Memory:
-    """A disk that is cut after so many steps: a byte written, a rename, a sync of the folder.
+class SimulatedDisk:
+    """A file system that loses power after a number of steps: a byte written, a rename, a directory sync.
 
-    What a rename changed and no sync of the folder has made sure of is there after a cut or not, each by
-    itself: ``states`` are all the folders that may be found."""
+    Each rename since the last directory sync may or may not have reached the disk, independently of the
+    others: ``states`` gives every directory that may be found after the power loss."""
 
     def __init__(self, files: dict[str, bytes], steps: int = 1 << 30) -> None:
         self.files, self.steps = dict(files), steps
-        self.sure, self.moved = dict(files), list[tuple[str, str, bytes]]()
+        self.synced, self.unsynced_renames = dict(files), list[tuple[str, str, bytes]]()
 
     def step(self) -> None:
         self.steps -= 1
         if self.steps < 0:
-            raise CutError
+            raise PowerLossError
 
     def read(self, path: str) -> bytes:
         if path not in self.files:
@@ -61,90 +61,95 @@
         if path not in self.files:
             raise FileNotFoundError(path)
         self.step()
-        self.moved.append((path, to, self.files[path]))
+        self.unsynced_renames.append((path, to, self.files[path]))
         self.files[to] = self.files.pop(path)
 
-    def sync_folder(self, path: str) -> None:
+    def sync_directory(self, path: str) -> None:
         self.step()
-        self.sure, self.moved = dict(self.files), []
+        self.synced, self.unsynced_renames = dict(self.files), []
 
     def states(self) -> Iterator[dict[str, bytes]]:
-        for chosen in itertools.product((False, True), repeat=len(self.moved)):
-            folder = dict(self.sure)
-            for (path, to, data), kept_it in zip(self.moved, chosen, strict=True):
-                if kept_it:
-                    folder[to] = data
-                    folder.pop(path, None)
-            yield folder
+        for chosen in itertools.product((False, True), repeat=len(self.unsynced_renames)):
+            files = dict(self.synced)
+            for (path, to, data), reached_disk in zip(self.unsynced_renames, chosen, strict=True):
+                if reached_disk:
+                    files[to] = data
+                    files.pop(path, None)
+            yield files
 
 
-def written(generation: int, servers: int = 3) -> bytes:
-    return form.write(kept(10, *(entry(n) for n in range(servers)), generation=generation), NAMES)
+def encoded(generation: int, servers: int = 3) -> bytes:
+    return snapshot_codec.encode(kept(10, *(entry(n) for n in range(servers)), generation=generation), NAMES)
 
 
-def generation(disk: Memory) -> int | None:
-    told, _ = File("k", disk).load(NAMES, "f")
-    return told.generation if told else None
+def loaded_generation(disk: SimulatedDisk) -> int | None:
+    snapshot, _ = SnapshotFile("k", disk).load(NAMES, "f")
+    return snapshot.generation if snapshot else None
 
 
-def test_a_list_comes_back_as_it_was_written() -> None:
+def test_decoding_an_encoded_snapshot_returns_an_equal_snapshot() -> None:
     gone = {b"s-9": Gone(NOW, 39, 5)}
-    told = kept(10, entry(1, Health.DRAINING, 7_000_000), entry(2), gone=gone)
-    assert form.read(form.write(told, NAMES), NAMES) == told
+    snapshot = kept(10, entry(1, Health.DRAINING, 7_000_000), entry(2), gone=gone)
+    assert snapshot_codec.decode(snapshot_codec.encode(snapshot, NAMES), NAMES) == snapshot
 
 
-def test_after_a_cut_at_every_step_the_old_list_or_the_new_one_is_there() -> None:
-    before, steps, seen = Memory({}), 0, set()
+def test_after_a_power_loss_at_any_step_of_a_save_the_old_or_the_new_snapshot_loads() -> None:
+    before, steps, seen = SimulatedDisk({}), 0, set()
     for number in (1, 2):
-        File("k", before).save(written(number))
+        SnapshotFile("k", before).save(encoded(number))
     while True:
-        disk = Memory(before.files, steps)
+        disk = SimulatedDisk(before.files, steps)
         try:
-            File("k", disk).save(written(3))
-        except CutError:
-            for folder in disk.states():
-                after = Memory(folder)
-                seen.add(generation(after))
-                File("k", after).save(written(4))  # what the cut left lying about is in nobody's way
-                assert generation(after) == 4
+            SnapshotFile("k", disk).save(encoded(3))
+        except PowerLossError:
+            for files in disk.states():
+                after = SimulatedDisk(files)
+                seen.add(loaded_generation(after))
+                SnapshotFile("k", after).save(encoded(4))  # leftover files must not prevent the next save
+                assert loaded_generation(after) == 4
             steps += 1
             continue
         break
-    assert generation(disk) == 3 and seen == {2, 3} and steps > len(written(3))
+    assert loaded_generation(disk) == 3 and seen == {2, 3} and steps > len(encoded(3))
 
 
-def test_a_list_is_synced_before_it_takes_its_place_and_the_folder_after(
+def test_a_snapshot_is_synced_before_its_rename_and_the_directory_after(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    done, sync, move = list[str](), os.fsync, os.replace
+    calls, fsync, replace = list[str](), os.fsync, os.replace
 
-    def synced(number: int) -> None:
-        sync(number)
-        done.append("folder" if stat.S_ISDIR(os.fstat(number).st_mode) else "file")
+    def recorded_fsync(descriptor: int) -> None:
+        fsync(descriptor)
+        calls.append("folder" if stat.S_ISDIR(os.fstat(descriptor).st_mode) else "file")
 
-    def moved(path: str, to: str) -> None:
-        move(path, to)
-        done.append(os.path.basename(to))
+    def recorded_replace(path: str, to: str) -> None:
+        replace(path, to)
+        calls.append(os.path.basename(to))
 
-    monkeypatch.setattr(os, "fsync", synced)
-    monkeypatch.setattr(os, "replace", moved)
+    monkeypatch.setattr(os, "fsync", recorded_fsync)
+    monkeypatch.setattr(os, "replace", recorded_replace)
     for number in (1, 2):
-        File(str(tmp_path / "k")).save(written(number))
-    assert done == ["file", "k", "folder", "file", "k.old", "k", "folder"]
+        SnapshotFile(str(tmp_path / "k")).save(encoded(number))
+    assert calls == ["file", "k", "folder", "file", "k.old", "k", "folder"]
 
 
-def test_every_shorter_and_every_damaged_file_is_told_and_the_one_before_is_used() -> None:
-    good, old = written(2), written(1)
+def test_every_truncated_or_damaged_file_is_reported_and_the_previous_snapshot_is_used() -> None:
+    good, old = encoded(2), encoded(1)
     for at in range(len(good)):
         for data in (good[:at], good[:at] + bytes([good[at] ^ 0x10]) + good[at + 1 :]):
-            told, wrong = File("k", Memory({"k": data, "k.old": old})).load(NAMES, "f")
-            assert told and told.generation == 1 and len(wrong) == 1 and "k is not used: it" in wrong[0]
+            snapshot, problems = SnapshotFile("k", SimulatedDisk({"k": data, "k.old": old})).load(NAMES, "f")
+            assert (
+                snapshot
+                and snapshot.generation == 1
+                and len(problems) == 1
+                and "k is not used: the file" in problems[0]
+            )
 
 
-def test_ten_thousand_mutated_lists_are_turned_away_or_harmless() -> None:
-    """Mutated behind the checksum too, as a program with a fault would have written them."""
-    chance, body = random.Random(7), written(2).split(b"\n", 1)[1]
-    taken = 0
+def test_ten_thousand_mutated_snapshots_are_rejected_or_harmless() -> None:
+    """The mutations are made before the checksum is computed, as if a faulty program had written the file."""
+    chance, body = random.Random(7), encoded(2).split(b"\n", 1)[1]
+    accepted = 0
     for n in range(10_000):
         data = bytearray(body)
         for _ in range(chance.randint(1, 4)):
@@ -152,63 +157,69 @@
             data[at : at + chance.randint(0, 3)] = bytes(
                 chance.choices(b'0123456789-"{}[],:.eaxN\\', k=chance.randint(0, 3))
             )
-        head = b"hookport-kept 1 %08x %d\n" % (zlib.crc32(data), len(data))
+        header = b"hookport-kept 1 %08x %d\n" % (zlib.crc32(data), len(data))
         try:
-            told = form.read(head + bytes(data), NAMES)
-        except form.KeptError:
+            snapshot = snapshot_codec.decode(header + bytes(data), NAMES)
+        except snapshot_codec.SnapshotError:
             continue
-        taken += 1
+        accepted += 1
         fleet = FleetView("f", 0, 1, TrustCurve(), 14 * 86_400 * SECOND_NS)
-        update = fleet.start(NOW, told, ServerList(ListKind.CACHED, ()), {})
+        update = fleet.start(NOW, snapshot, ServerList(ListKind.CACHED, ()), {})
         assert update.server_list and len(update.server_list.entries) <= 3, n
-        form.read(form.write(fleet.kept(NOW), NAMES), NAMES)
-    assert 500 < taken < 9_000, "the mutations reach past the parser, and are not all harmless"
+        snapshot_codec.decode(snapshot_codec.encode(fleet.kept(NOW), NAMES), NAMES)
+    assert 500 < accepted < 9_000, "too few mutations pass the decoder, or too few are rejected"
 
 
 @pytest.mark.parametrize(
-    ("data", "why"),
-    [(b"", "it is empty"), (b"PK\x03\x04", "does not begin"), (b"hookport-kept 2 00000000 0\n", "version 2"),
+    ("data", "reason"),
+    [(b"", "the file is empty"), (b"PK\x03\x04", "does not begin with the header"),
+     (b"hookport-kept 2 00000000 0\n", "format version 2"),
      (b"hookport-kept 1 00000000 9\n{}", "2 of 9 bytes"), (b"hookport-kept 1 00000000 2\n{}", "checksum"),
-     (b"hookport-kept 1 %08x 2\n{}" % zlib.crc32(b"{}"), "no list of servers: KeyError")],
+     (b"hookport-kept 1 %08x 2\n{}" % zlib.crc32(b"{}"), "no valid server list: KeyError")],
 )  # fmt: skip
-def test_each_wrong_file_is_told_by_its_own_words(data: bytes, why: str, capsys: pytest.CaptureFixture[str],
-                                                  tmp_path: Path) -> None:  # fmt: skip
-    with pytest.raises(form.KeptError, match=why):
-        form.read(data, NAMES)
+def test_each_invalid_file_is_reported_with_its_own_reason(
+    data: bytes, reason: str, capsys: pytest.CaptureFixture[str], tmp_path: Path
+) -> None:
+    with pytest.raises(snapshot_codec.SnapshotError, match=reason):
+        snapshot_codec.decode(data, NAMES)
     (tmp_path / "k").write_bytes(data)
     assert main(["kept", str(tmp_path / "k")]) == 2
-    assert why in capsys.readouterr().err
+    assert reason in capsys.readouterr().err
 
 
-def test_a_list_of_another_fleet_is_not_taken() -> None:
-    told, wrong = File("k", Memory({"k": written(2)})).load(NAMES, "g")
-    assert told is None and wrong == ["the kept list k is not used: it is of the fleet 'f', this is 'g'"]
+def test_a_snapshot_of_another_fleet_is_not_used() -> None:
+    snapshot, problems = SnapshotFile("k", SimulatedDisk({"k": encoded(2)})).load(NAMES, "g")
+    assert snapshot is None and problems == [
+        "the saved server list k is not used: the file is of fleet 'f', this limiter of 'g'"
+    ]
 
 
-def test_a_real_disk_keeps_the_list_before_and_one_that_fails_keeps_what_it_had(tmp_path: Path) -> None:
-    file = File(str(tmp_path / "k"))
+def test_a_save_keeps_the_previous_snapshot_and_a_failed_save_keeps_the_current_one(tmp_path: Path) -> None:
+    file = SnapshotFile(str(tmp_path / "k"))
     for number in (1, 2):
-        file.save(written(number))
-    assert file.load(NAMES, "f")[0] == form.read(written(2), NAMES)
-    assert (tmp_path / "k.old").read_bytes() == written(1)
+        file.save(encoded(number))
+    assert file.load(NAMES, "f")[0] == snapshot_codec.decode(encoded(2), NAMES)
+    assert (tmp_path / "k.old").read_bytes() == encoded(1)
 
-    class Full(Memory):
+    class FullDisk(SimulatedDisk):
         def write(self, path: str, data: bytes) -> None:
             self.files[path] = data[:10]
             raise OSError(errno.ENOSPC, "No space left on device")
 
-    disk = Full({"k": written(2), "k.old": written(1)})
+    disk = FullDisk({"k": encoded(2), "k.old": encoded(1)})
     with pytest.raises(OSError, match="No space"):
-        File("k", disk).save(written(3))
-    assert generation(disk) == 2
+        SnapshotFile("k", disk).save(encoded(3))
+    assert loaded_generation(disk) == 2
 
 
-def test_the_command_shows_who_would_be_trusted_how_far(
+def test_the_kept_command_prints_the_snapshot_and_each_server(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    file = File(str(tmp_path / "k"))
+    file = SnapshotFile(str(tmp_path / "k"))
     file.save(
-        form.write(Snapshot("f", 7, 0, kept(10, entry(1), entry(2, Health.DRAINING)).servers, {}), NAMES)
+        snapshot_codec.encode(
+            Snapshot("f", 7, 0, kept(10, entry(1), entry(2, Health.DRAINING)).servers, {}), NAMES
+        )
     )
     assert main(["kept", str(tmp_path / "k")]) == 0
     rows = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
@@ -216,7 +227,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "why"),
+    ("text", "reason"),
     [("{", "not JSON"), ('{"membreship": 1}', "unknown key membreship; did you mean membership?"),
      ('{"membership": {}}', "membership: Object missing required field `path`"),
      ('{"membership": {"path": "k", "write_s": 0}}', "membership.write_s: Expected `float` > 0"),
@@ -226,13 +237,13 @@
      ('{"membership": {"path": "k", "trust": [{"age_s": 2, "open_part": 1, "answers": 0, "claims": true},'
       '{"age_s": 1, "open_part": 1, "answers": 0, "claims": true}]}}', "membership.trust: row 1: age_s 1")],
 )  # fmt: skip
-def test_wrong_options_are_told_with_their_place(text: str, why: str) -> None:
-    with pytest.raises(OptionsError) as told:
+def test_errors_in_the_options_name_the_file_and_the_key(text: str, reason: str) -> None:
+    with pytest.raises(OptionsError) as caught:
         parse(text.encode(), "file.json")
-    assert str(told.value).startswith("file.json: ") and why in str(told.value)
+    assert str(caught.value).startswith("file.json: ") and reason in str(caught.value)
 
 
-def test_the_example_is_sound_and_the_published_schema_is_that_of_the_code(
+def test_the_example_options_load_and_the_published_schema_equals_the_generated_one(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     example = ROOT / "deploy" / "hookport.json"
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -19,8 +19,7 @@
 from aniseshed.interface import Health, ServerEntry, Trust
 from hookport import config
 from hookport.config import Names
-from hookport.membership import messages as words
-from hookport.membership import snapshot_codec as form
+from hookport.membership import messages, snapshot_codec
 from hookport.membership.fleet import Snapshot, SnapshotEntry, State
 from hookport.options import Membership, Options
 
@@ -38,7 +37,7 @@
         )
         for n, stub in enumerate(world.stubs)
     )  # fmt: skip
-    path.write_bytes(form.write(Snapshot("f", generation, told_ns, held, {}), NAMES))
+    path.write_bytes(snapshot_codec.encode(Snapshot("f", generation, told_ns, held, {}), NAMES))
 
 
 def dark(world: World, path: Path, **more: float) -> World:
@@ -89,8 +88,8 @@
             assert len(world.stubs[1].commands) == before
             assert not world.stubs[0].closed, "what it names keeps its connections"
             path = tmp_path / "k"
-            await until(lambda: form.read(path.read_bytes(), NAMES).generation == 9)
-            told = form.read(path.read_bytes(), NAMES)
+            await until(lambda: snapshot_codec.decode(path.read_bytes(), NAMES).generation == 9)
+            told = snapshot_codec.decode(path.read_bytes(), NAMES)
             assert [h.entry.server for h in told.servers] == [b"s-0"] and set(told.gone) == {b"s-1"}
             fleet = node.members.fleet
             world.discovery.watches[-1].transport.abort()
@@ -203,8 +202,8 @@
             assert node and node.members
             said: list[bytes] = []
             node.members.door.send_to_peers = lambda peer, payload: said.append(payload)  # type: ignore[method-assign]
-            await until(lambda: words.ASK in said)
-            node.peer_message_received(1, words.tell([b"s-0"]))
+            await until(lambda: messages.QUERY in said)
+            node.peer_message_received(1, messages.encode_report([b"s-0"]))
             client = await world.client()
             for n in range(1, 9):
                 assert await client.ask(*query(n)) == b"value"
@@ -213,12 +212,12 @@
             rows = [instance("s-0", world.stubs[0].port), instance("s-1", world.stubs[1].port)]
             world.discovery.push(list_update(9, *rows, full=True))
             world.discovery.push(list_update(10, instance("s-1", world.stubs[1].port, "DRAINING")))
-            await until(lambda: words.tell([b"s-1"]) in said)
+            await until(lambda: messages.encode_report([b"s-1"]) in said)
             node.members.word_s = 0.0
             said.clear()
-            node.peer_message_received(1, words.ASK)
-            assert said == [words.tell([b"s-1"])]
-            node.peer_message_received(1, words.ASK)
+            node.peer_message_received(1, messages.QUERY)
+            assert said == [messages.encode_report([b"s-1"])]
+            node.peer_message_received(1, messages.QUERY)
             assert len(said) == 1, "one a second"
 
     asyncio.run(scenario())
