--- a/hookport/membership/__init__.py
+++ b/hookport/membership/__init__.py
@@ -6,18 +6,26 @@
 ``members`` connects the package to the daemon."""
 
 from hookport.membership.curve import TrustCurve, TrustPoint
-from hookport.membership.fleet import FleetView, Gone, Report, Snapshot, SnapshotEntry, Source, Update
+from hookport.membership.fleet import (
+    EntrySource,
+    FleetView,
+    Snapshot,
+    SnapshotEntry,
+    Tombstone,
+    TrustReport,
+    Update,
+)
 from hookport.membership.members import MembershipManager
 
 __all__ = [
     "TrustCurve",
     "FleetView",
-    "Gone",
+    "Tombstone",
     "SnapshotEntry",
     "Snapshot",
     "MembershipManager",
     "TrustPoint",
-    "Report",
-    "Source",
+    "TrustReport",
+    "EntrySource",
     "Update",
 ]
--- a/hookport/membership/command.py
+++ b/hookport/membership/command.py
@@ -1,4 +1,4 @@
-"""``hookport kept FILE``: what a kept list says, how old it is, and how far a limiter that starts now would
+"""``hookport kept FILE``: shows a saved server list, its age, and how far a limiter that starts now would
 trust it."""
 
 from __future__ import annotations
@@ -16,43 +16,51 @@
 from hookport.membership.fleet import FleetView
 from hookport.membership.snapshot_file import LocalFileSystem
 
-NOBODY = Names({}, {}, {}, {})
-ALL_NS = 1 << 62
+NO_NAMES = Names({}, {}, {}, {})  # zones and machine types are not shown
+NEVER_FORGET_NS = 1 << 62  # entries of any age are shown
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Show a kept list as JSON lines: one for the whole, one for each server; exit status 2 if it is none."""
+    """Show a saved server list as JSON lines: one for the whole list, then one for each server.  Exits with 2
+    if the file cannot be used."""
     parser = argparse.ArgumentParser(prog="hookport kept", description=main.__doc__)
-    parser.add_argument("file", help="the list: the path of the options, or the same with .old behind it")
-    told = parser.parse_args(arguments)
+    parser.add_argument(
+        "file", help="the saved list: the path given in the options, or that path with .old appended"
+    )
+    args = parser.parse_args(arguments)
     try:
-        kept = snapshot_codec.decode(LocalFileSystem().read(told.file), NOBODY)
+        snapshot = snapshot_codec.decode(LocalFileSystem().read(args.file), NO_NAMES)
     except (OSError, snapshot_codec.SnapshotError) as error:
-        why = error.strerror if isinstance(error, OSError) else error
-        print(f"hookport kept: {told.file}: {why}; remove it to start without it", file=sys.stderr)
+        reason = error.strerror if isinstance(error, OSError) else error
+        print(
+            f"hookport kept: {args.file}: {reason}; remove the file to start without a saved list",
+            file=sys.stderr,
+        )
         return 2
     now_ns, curve = time.time_ns(), TrustCurve()
-    fleet = FleetView(kept.fleet, 0, 1, curve, ALL_NS)
-    fleet.start(now_ns, kept, ServerList(ListKind.CACHED, ()), {})
-    whole = {
-        "fleet": kept.fleet,
-        "generation": kept.generation,
-        "age_s": round((now_ns - kept.saved_ns) / SECOND_NS, 1),
-        "servers": len(kept.servers),
-        "gone": len(kept.gone),
+    fleet = FleetView(snapshot.fleet, 0, 1, curve, NEVER_FORGET_NS)
+    fleet.start(now_ns, snapshot, ServerList(ListKind.CACHED, ()), {})
+    summary = {
+        "fleet": snapshot.fleet,
+        "generation": snapshot.generation,
+        "age_s": round((now_ns - snapshot.saved_ns) / SECOND_NS, 1),
+        "servers": len(snapshot.servers),
+        "gone": len(snapshot.tombstones),
     }
-    print(json.dumps(whole))
-    for held in kept.servers:
-        point = curve.at(now_ns - held.confirmed_ns)
+    print(json.dumps(summary))
+    for saved in snapshot.servers:
+        point = curve.at(now_ns - saved.confirmed_ns)
         row = {
-            "server": held.entry.server.decode(),
-            "address": f"{held.address[0]}:{held.address[1]}",
-            "state": held.entry.health.name.lower(),
-            "told_s_ago": round((now_ns - held.confirmed_ns) / SECOND_NS, 1),
-            "answered_s_ago": round((now_ns - held.answered_ns) / SECOND_NS, 1) if held.answered_ns else None,
+            "server": saved.entry.server.decode(),
+            "address": f"{saved.address[0]}:{saved.address[1]}",
+            "state": saved.entry.health.name.lower(),
+            "told_s_ago": round((now_ns - saved.confirmed_ns) / SECOND_NS, 1),
+            "answered_s_ago": round((now_ns - saved.answered_ns) / SECOND_NS, 1)
+            if saved.answered_ns
+            else None,
         }
-        if held.entry.health is Health.READY:
-            row["trust"] = fleet.beliefs[held.entry.server].trust.name.lower()
+        if saved.entry.health is Health.READY:
+            row["trust"] = fleet.servers[saved.entry.server].trust.name.lower()
             row["answers_to_prove"] = point.answers
             row["claims_unproved"] = point.claims
         print(json.dumps(row))
--- a/hookport/membership/fleet.py
+++ b/hookport/membership/fleet.py
@@ -1,21 +1,24 @@
-"""What one limiter believes of each server: merged from sources of different rank and age, never by arrival.
-
-Sources, from the highest rank: discovery's watch while it lives; its last word after it has gone; the list
-that this limiter kept on disk; the list in the configuration.  A lower one never speaks against a higher one,
-and what was heard to drain or to be gone does not come back by an older word.  Other limiters may take trust
-away and never give any.
-
-Every server has one trust (``interface.Trust``), which the module keeps to.  Told by the living watch, it is
-TOLD. Else the age of what vouches for it decides (``curve``): young enough, it is as good as told; older, it
-has to prove itself by good answers; and of those that have to, only a part of the list is tried at one time,
-from a place on the list that is this limiter's own, so that limiters that start together do not all fall on
-the same few.  What failed is left alone for a while that doubles.
-
-A server that was not heard of for a while may have started again in that while, and nobody can say so: it
-counts as cold since this limiter's own start (``presumed_ns``), and again since an attempt at it broke while
-nobody could tell.
-
-Times are Unix nanoseconds, handed in.  Nothing here does I/O, reads a clock, or draws a number.
+"""One limiter's view of the desk servers, merged from several sources by rank and age, not by the order in
+which they arrive.
+
+Sources, from the highest rank: discovery while its watch is up; the last list of discovery after the watch
+has ended; the list that this limiter saved on disk; the list in the configuration.  A source never overrides
+one of a higher rank, and older information never brings back a server that was reported to drain or to be
+gone.  Other limiters can reduce trust, never raise it.
+
+Each server has one level of trust (``interface.Trust``), which the decision module applies.  A server that
+the live watch has reported is TOLD.  Otherwise the age of its last confirmation decides (``curve``): if it is
+recent enough, the server counts as TOLD; if not, the server has to prove itself by good answers.  Of the
+servers that need proof only a part is on trial at one time, starting at a position on the list that differs
+between limiters, so that limiters that start together do not all try the same few.  A server that fails gets
+nothing for a time that doubles with each failure in a row.
+
+A server may have restarted unnoticed while no source reported on it.  It is therefore treated as cold since
+this limiter's own start (``presumed_start_ns``), and again since a connection to it broke while no source
+could report a restart.
+
+Times are Unix nanoseconds passed in by the caller.  Nothing here does I/O, reads a clock or draws random
+numbers.
 """
 
 from __future__ import annotations
@@ -31,66 +34,68 @@
 
 Address = tuple[str, int]
 
-LEAST_OPEN = 2  # tried at one time, however old the list: one that hangs must not hold up the rest
-PROOF_NS = 600 * SECOND_NS  # for which an answer proves a server that nobody vouches for any more
-SHUT_NS = (
+MIN_ON_TRIAL = 2  # servers on trial at one time, however old the list: one that hangs must not block the rest
+PROOF_VALID_NS = 600 * SECOND_NS  # how long an answer proves a server that no source confirms any more
+BACKOFF_NS = (
     SECOND_NS,
     60 * SECOND_NS,
-)  # after a failure nothing is sent for this long, doubled up to the second
-GONE_NS = 3600 * SECOND_NS  # for which a server that was deleted is remembered
-MOST_GONE = 4096
-HOLD_NS = 600 * SECOND_NS  # for which a list with an older generation brings back nothing that drained
-MOST_SERVERS = 10_000  # of a list that is not told by discovery
-SMALL = 256  # servers: beyond that trust is settled by the tick
-FAILED = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR)
-BROKEN = (Outcome.CONNECT_FAILED, Outcome.RESET)
+)  # time without attempts after a failure: the first, and the maximum that doubling reaches
+TOMBSTONE_TTL_NS = 3600 * SECOND_NS  # how long a deleted server is remembered
+MAX_TOMBSTONES = 4096
+STALE_LIST_HOLD_NS = 600 * SECOND_NS  # how long a list of an older generation brings back no drained server
+MAX_SERVERS = 10_000  # of a list that does not come from discovery
+SMALL_FLEET = 256  # servers; in a larger fleet trust is evaluated by the tick, not after each answer
+FAILURES = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR)
+CONNECTION_FAILURES = (Outcome.CONNECT_FAILED, Outcome.RESET)
 
 
-class Source(IntEnum):
-    """Who vouches for a server; the higher rank wins."""
+class EntrySource(IntEnum):
+    """Where the information about one server comes from; a higher value is a higher rank."""
 
     CONFIGURATION = 1
-    KEPT = 2
+    SNAPSHOT = 2
     DISCOVERY = 3
 
 
-class State(Enum):
-    """Where the whole list comes from at present."""
+class ListSource(Enum):
+    """Where the whole list comes from at present; the values are written to the log."""
 
-    NONE = "none"  # nobody has named a server
+    NONE = "none"  # there is no list
     CONFIGURATION = "configuration"
-    KEPT = "kept"
-    LAST_WORD = "last-word"  # discovery's, which is silent now
-    TOLD = "told"  # discovery's, which lives
+    SNAPSHOT = "kept"
+    LOST_DISCOVERY = "last-word"  # the last list of discovery, whose watch has ended
+    LIVE_DISCOVERY = "told"  # discovery, whose watch is up
 
 
 @dataclass(slots=True)
-class Belief:
-    """One server.  ``entry`` is as it was told; trust and presumption are added when it is handed on."""
+class ServerRecord:
+    """What is known about one server.  ``entry`` is as its source reported it: trust and presumed start are
+    added when it is published."""
 
     entry: ServerEntry
-    place: Address
-    source: Source
+    address: Address
+    source: EntrySource
     generation: int
-    told_ns: int  # when its source vouched for it
-    heard_ns: int = 0  # the last good answer to this limiter, in any of its lives
-    answers: int = 0  # good answers in this life, since the last failure
-    fails: int = 0  # in a row
-    shut_ns: int = 0  # nothing is sent before then
-    asked: bool = False
-    absent_ns: int = 0  # since when a whole list that is doubted lacks it
-    warned: bool = False  # another limiter says that it drains or is gone
-    presumed_ns: int = 0
+    confirmed_ns: int  # when its source confirmed it
+    answered_ns: int = 0  # its last good answer to this limiter, also before a restart of the limiter
+    answers: int = 0  # good answers since this limiter started and since the last failure
+    failures: int = 0  # in a row
+    blocked_until_ns: int = 0  # nothing is sent before then
+    contacted: bool = False  # an attempt or a probe ended while no watch was up
+    missing_since_ns: int = 0  # since when a full list that is doubted lacks it, 0 if none does
+    reported_by_peer: bool = False  # another limiter reports that it drains or is gone
+    presumed_start_ns: int = 0
     trust: Trust = Trust.NONE
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
-    """A server that was told to be gone, or to drain: ``born_ns`` is the start of the life that it ended."""
+class Tombstone:
+    """A server that was reported to be gone or to drain.  ``started_ns`` is the start of the instance that
+    ended: a later start is another instance."""
 
-    told_ns: int
+    recorded_ns: int
     generation: int
-    born_ns: int
+    started_ns: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,25 +112,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A list as it is kept: whose fleet it is, its generation, when it was written, its servers, and who has
-    gone."""
+    """The list as it is saved on disk: the fleet's name, the generation of discovery's list, when it was
+    saved, the servers, and those that are gone."""
 
     fleet: str
     generation: int
     saved_ns: int
     servers: tuple[SnapshotEntry, ...]
-    gone: Mapping[bytes, Gone]
+    tombstones: Mapping[bytes, Tombstone]
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class TrustReport:
     """How far the list is trusted.
 
-    ``age_s``: of the oldest word that a server which is not told by the living watch rests on, 0 if there is
-    none; ``trusted``, ``tried``, ``withheld``, ``draining``: servers by what they get; ``asked``: servers
-    that were asked before discovery spoke, ``wrong``: those of them that failed and never answered well."""
+    ``age_s``: the age of the oldest confirmation of a ready server that the live watch has not reported, 0 if
+    there is none; ``trusted``, ``tried``, ``withheld``: ready servers that are fully trusted, on trial, and
+    without requests; ``draining``: all others; ``asked``: servers contacted while discovery was unavailable;
+    ``wrong``: those of them that failed without a good answer since."""
 
-    state: State
+    source: ListSource
     age_s: float
     trusted: int
     tried: int
@@ -134,10 +140,10 @@
     asked: int
     wrong: int
 
-    def line(self) -> str:
+    def to_log_line(self) -> str:
         """The report as one line for the log."""
         return (
-            f"servers source={self.state.value} age_s={self.age_s:.1f} trusted={self.trusted} "
+            f"servers source={self.source.value} age_s={self.age_s:.1f} trusted={self.trusted} "
             f"tried={self.tried} withheld={self.withheld} draining={self.draining} "
             f"asked={self.asked} wrong={self.wrong}"
         )
@@ -145,385 +151,440 @@
 
 @dataclass(slots=True)
 class Update:
-    """What changed: a list for the module with the servers' addresses, if any, and lines for the log."""
+    """The result of an event: a list for the decision module with the servers' addresses, if anything
+    changed for it, and lines for the log."""
 
     server_list: ServerList | None = None
     addresses: dict[bytes, Address] = field(default_factory=dict)
-    lines: list[str] = field(default_factory=list)
+    log_lines: list[str] = field(default_factory=list)
 
 
 class FleetView:
-    """The beliefs of one limiter.
+    """The servers as one limiter knows them.
 
-    ``place`` and ``limiters`` are its number in the tier and how many there are.  ``loss_part``: a whole list
-    of a discovery that has just come back, and that lacks more than this part of the servers, is doubted for
-    ``doubt_ns``; 0 takes every list at its word."""
+    ``index`` is this limiter's number among ``limiters``.  A server that no source confirmed for
+    ``forget_ns`` is not taken from a snapshot.  ``loss_part``: if the watch has just come back and a full
+    list lacks more than this part of the ready servers, the list is doubted for ``doubt_ns``; 0 accepts every
+    list."""
 
     def __init__(
         self,
-        fleet: str,
-        place: int,
+        fleet_name: str,
+        index: int,
         limiters: int,
         curve: TrustCurve,
         forget_ns: int,
         loss_part: float = 0.0,
         doubt_ns: int = 60 * SECOND_NS,
     ) -> None:
-        self.fleet, self.place, self.limiters, self.curve = fleet, place, max(1, limiters), curve
+        self.fleet_name, self.index, self.limiters, self.curve = fleet_name, index, max(1, limiters), curve
         self.forget_ns, self.loss_part, self.doubt_ns = forget_ns, loss_part, doubt_ns
-        self.beliefs: dict[bytes, Belief] = {}
-        self.gone: dict[bytes, Gone] = {}
-        self.live = False  # the watch speaks, and the list is of this discovery
-        self.taken = False  # a list of the present discovery has been taken
+        self.servers: dict[bytes, ServerRecord] = {}
+        self.tombstones: dict[bytes, Tombstone] = {}
+        self.live = False  # the watch is up, and the list comes from it
+        self.has_full_list = False  # the present discovery has sent a full list
         self.generation = 0
-        self.confirmed_ns = 0  # the watch's last word that nothing else has changed
-        self.back_ns = 0  # when the watch last began to speak
-        self.news: set[bytes] = set()  # drained or gone, and not yet told to the other limiters
-        self.state = State.NONE
-        self.handed: dict[bytes, ServerEntry] = {}  # what the module has
-        self.order: list[bytes] = []  # of all servers, from this limiter's own place on the list
+        self.watch_confirmed_ns = 0  # when the watch last reported that nothing else has changed
+        self.watch_resumed_ns = 0  # when the watch last came up
+        self.unannounced: set[bytes] = set()  # drained or gone, and not yet reported to the other limiters
+        self.source = ListSource.NONE
+        self.published: dict[bytes, ServerEntry] = {}  # as the decision module has them
+        self.trial_order: list[bytes] = []  # all servers, from this limiter's own position on the list
 
     # Sources
 
     def start(
         self,
         now_ns: int,
-        kept: Snapshot | None,
-        listed: ServerList,
-        places: Mapping[bytes, Address],
+        snapshot: Snapshot | None,
+        configured: ServerList,
+        addresses: Mapping[bytes, Address],
         generation: int = 0,
     ) -> Update:
-        """Begin with the list kept on disk and the one of the configuration, which tells no age.
-
-        Of the two the one with the later generation wins where they differ; the configuration's is then at
-        least as young as the kept one, and else of unknown age, which is the oldest.  Drains count from
-        either."""
-        newer, listed_ns = False, 0
-        if kept:
-            self.gone = {s: g for s, g in kept.gone.items() if now_ns - g.told_ns < GONE_NS}
-            self.generation, newer = kept.generation, generation > kept.generation > 0
-            listed_ns = kept.saved_ns if newer else 0
-            for held in kept.servers[:MOST_SERVERS]:
-                if held.entry.health is not Health.GONE and now_ns - held.confirmed_ns < self.forget_ns:
-                    told = held.generation, held.confirmed_ns, held.answered_ns
-                    self.beliefs[held.entry.server] = Belief(held.entry, held.address, Source.KEPT, *told)
+        """Begin with the snapshot and with the configuration's list, which has no time of its own.
+
+        Where they differ, the one of the later generation wins.  If that is the configuration, its list is at
+        least as recent as the snapshot; if not, its age is unknown and counts as the greatest.  A server that
+        either reports as draining is draining."""
+        newer, configured_ns = False, 0
+        if snapshot:
+            self.tombstones = {
+                s: t for s, t in snapshot.tombstones.items() if now_ns - t.recorded_ns < TOMBSTONE_TTL_NS
+            }
+            self.generation, newer = snapshot.generation, generation > snapshot.generation > 0
+            configured_ns = snapshot.saved_ns if newer else 0
+            for saved in snapshot.servers[:MAX_SERVERS]:
+                if saved.entry.health is not Health.GONE and now_ns - saved.confirmed_ns < self.forget_ns:
+                    history = saved.generation, saved.confirmed_ns, saved.answered_ns
+                    self.servers[saved.entry.server] = ServerRecord(
+                        saved.entry, saved.address, EntrySource.SNAPSHOT, *history
+                    )
         if newer:
-            named = {entry.server for entry in listed.entries}
-            for server in [s for s in self.beliefs if s not in named]:
-                self.bury(now_ns, server, generation)
-        for entry in listed.entries[:MOST_SERVERS]:
-            known = self.beliefs.get(entry.server)
+            listed = {entry.server for entry in configured.entries}
+            for server in [s for s in self.servers if s not in listed]:
+                self.record_gone(now_ns, server, generation)
+        for entry in configured.entries[:MAX_SERVERS]:
+            known = self.servers.get(entry.server)
             if entry.health is Health.GONE:
-                self.beliefs.pop(entry.server, None)
+                self.servers.pop(entry.server, None)
             elif known and entry.health is Health.DRAINING:
                 known.entry = replace(known.entry, health=Health.DRAINING)
-            elif (known is None or newer) and self.may_return(entry, -1, listed_ns):
-                told = generation, listed_ns, known.heard_ns if known else 0
-                self.beliefs[entry.server] = Belief(entry, places[entry.server], Source.CONFIGURATION, *told)
-        lines = self.part_addresses()
-        for belief in self.beliefs.values():
-            belief.presumed_ns = now_ns
-        update = self.changed(now_ns, lines)
+            elif (known is None or newer) and self.may_return(entry, -1, configured_ns):
+                history = generation, configured_ns, known.answered_ns if known else 0
+                self.servers[entry.server] = ServerRecord(
+                    entry, addresses[entry.server], EntrySource.CONFIGURATION, *history
+                )
+        log_lines = self.drop_shared_addresses()
+        for record in self.servers.values():
+            record.presumed_start_ns = now_ns
+        update = self.publish(now_ns, log_lines)
         entries = update.server_list.entries if update.server_list else ()
-        return Update(ServerList(ListKind.CACHED, entries), update.addresses, update.lines)
+        return Update(ServerList(ListKind.CACHED, entries), update.addresses, update.log_lines)
 
-    def part_addresses(self) -> list[str]:
-        """Guards against two names of one address, one of which is another server's by now: the later word
-        wins."""
-        by_place: dict[Address, Belief] = {}
+    def drop_shared_addresses(self) -> list[str]:
+        """Of the servers at one address keep the one that was confirmed last: the address may have passed
+        from one server to another since the older information."""
+        by_address: dict[Address, ServerRecord] = {}
         dropped = 0
-        for belief in sorted(self.beliefs.values(), key=lambda b: (b.source, b.told_ns, b.heard_ns)):
-            if (other := by_place.get(belief.place)) is not None:
-                del self.beliefs[other.entry.server]
+        for record in sorted(self.servers.values(), key=lambda r: (r.source, r.confirmed_ns, r.answered_ns)):
+            if (other := by_address.get(record.address)) is not None:
+                del self.servers[other.entry.server]
                 dropped += 1
-            by_place[belief.place] = belief
-        return [f"{dropped} servers share an address with one named later: not used"] if dropped else []
-
-    def may_return(self, entry: ServerEntry, generation: int, told_ns: int) -> bool:
-        """Whether a word may bring back what was heard to drain or to be gone.
-
-        A later start is another life.  Else the word must be younger: by generation, or after ``HOLD_NS``, in
-        case discovery has begun to count anew.  ``generation`` -1: only the time of the word counts."""
-        against = [self.gone[entry.server]] if entry.server in self.gone else []
-        belief = self.beliefs.get(entry.server)
-        if belief and belief.entry.health is not Health.READY:
-            against.append(Gone(belief.told_ns, belief.generation, belief.entry.started_ns))
-        for gone in against:
-            another_life = entry.started_ns > max(gone.born_ns, gone.told_ns)
-            younger = generation > gone.generation or told_ns - gone.told_ns >= HOLD_NS
-            if not another_life and not (younger if generation >= 0 else told_ns > gone.told_ns):
+            by_address[record.address] = record
+        return (
+            [f"{dropped} servers are not used: a more recent entry has the same address"] if dropped else []
+        )
+
+    def may_return(self, entry: ServerEntry, generation: int, reported_ns: int) -> bool:
+        """Whether an entry may bring back a server that was reported to drain or to be gone.
+
+        A later start is another instance and may.  Otherwise the entry must be newer than that report: by its
+        generation, or by ``STALE_LIST_HOLD_NS``, in case discovery has restarted its generations.  With
+        ``generation`` -1 only the time of the entry counts."""
+        removals = [self.tombstones[entry.server]] if entry.server in self.tombstones else []
+        record = self.servers.get(entry.server)
+        if record and record.entry.health is not Health.READY:
+            removals.append(Tombstone(record.confirmed_ns, record.generation, record.entry.started_ns))
+        for removal in removals:
+            restarted = entry.started_ns > max(removal.started_ns, removal.recorded_ns)
+            newer = generation > removal.generation or reported_ns - removal.recorded_ns >= STALE_LIST_HOLD_NS
+            if not restarted and not (newer if generation >= 0 else reported_ns > removal.recorded_ns):
                 return False
         return True
 
-    def told(
-        self, now_ns: int, generation: int, listed: ServerList, places: Mapping[bytes, Address]
+    def apply_discovery_list(
+        self, now_ns: int, generation: int, server_list: ServerList, addresses: Mapping[bytes, Address]
     ) -> Update:
-        """A list of discovery: the whole (FULL) or what changed (DELTA)."""
-        lines, whole = list[str](), listed.kind is not ListKind.DELTA
+        """Apply a list of discovery: all servers (FULL) or what changed (DELTA)."""
+        log_lines, full = list[str](), server_list.kind is not ListKind.DELTA
         if not self.live:
-            self.back_ns = now_ns
+            self.watch_resumed_ns = now_ns
         older = generation < self.generation
         if older:
-            lines.append(f"discovery is back with generation {generation}, {self.generation} was known: "
-                         f"what drained since does not return by it")  # fmt: skip
-        if not self.taken and not whole:
-            lines.append("discovery told changes of a list that it never told: the rest is not vouched for")
-        ready = {s for s, b in self.beliefs.items() if b.entry.health is Health.READY and not b.absent_ns}
-        refused = list[bytes]()
-        for entry in listed.entries:
+            log_lines.append(f"discovery returned with generation {generation}, older than "
+                             f"{self.generation}: servers that drained since then stay out")  # fmt: skip
+        if not self.has_full_list and not full:
+            log_lines.append("discovery sent changes before any full list: other servers remain unconfirmed")
+        ready = {
+            s for s, r in self.servers.items() if r.entry.health is Health.READY and not r.missing_since_ns
+        }
+        rejected = list[bytes]()
+        for entry in server_list.entries:
             if entry.health is Health.READY and not self.may_return(entry, generation, now_ns):
-                refused.append(entry.server)
+                rejected.append(entry.server)
                 continue
-            self.take(now_ns, generation, entry, places[entry.server])
-        if refused:
-            lines.append(
-                f"{len(refused)} servers that drained or went stay out: the list is older than that word"
+            self.apply_entry(now_ns, generation, entry, addresses[entry.server])
+        if rejected:
+            log_lines.append(
+                f"{len(rejected)} servers stay out: the list is older than the report "
+                "that they drain or are gone"
             )
-        if whole:
-            named = {entry.server for entry in listed.entries}
-            missing = [s for s in self.beliefs if s not in named]
+        if full:
+            listed = {entry.server for entry in server_list.entries}
+            missing = [s for s in self.servers if s not in listed]
             lost = len(ready.intersection(missing))
-            just_back = older or now_ns - self.back_ns < self.doubt_ns
-            if self.loss_part and ready and just_back and lost > self.loss_part * len(ready):
-                lines.append(f"a whole list lacks {lost} of {len(ready)} servers: doubted for "
-                             f"{self.doubt_ns // SECOND_NS} s, they get searches alone")  # fmt: skip
+            just_resumed = older or now_ns - self.watch_resumed_ns < self.doubt_ns
+            if self.loss_part and ready and just_resumed and lost > self.loss_part * len(ready):
+                log_lines.append(f"a full list lacks {lost} of {len(ready)} ready servers: doubted for "
+                                 f"{self.doubt_ns // SECOND_NS} s, in which the missing servers get only "
+                                 f"requests that are safe to repeat")  # fmt: skip
                 for server in missing:
-                    belief = self.beliefs[server]
+                    record = self.servers[server]
                     if server in ready:
-                        belief.absent_ns = belief.absent_ns or now_ns
-                    elif not belief.absent_ns:
-                        self.bury(now_ns, server, generation)
+                        record.missing_since_ns = record.missing_since_ns or now_ns
+                    elif not record.missing_since_ns:
+                        self.record_gone(now_ns, server, generation)
             else:
                 for server in missing:
-                    self.bury(now_ns, server, generation)
-            self.taken = True
-        self.live, self.generation = self.taken, generation
-        self.confirmed_ns = now_ns
-        self.trim(now_ns)
-        return self.changed(now_ns, lines)
-
-    def take(self, now_ns: int, generation: int, entry: ServerEntry, place: Address) -> None:
-        """One server's line of discovery's list."""
+                    self.record_gone(now_ns, server, generation)
+            self.has_full_list = True
+        self.live, self.generation = self.has_full_list, generation
+        self.watch_confirmed_ns = now_ns
+        self.expire_tombstones(now_ns)
+        return self.publish(now_ns, log_lines)
+
+    def apply_entry(self, now_ns: int, generation: int, entry: ServerEntry, address: Address) -> None:
+        """Apply one entry of a list of discovery."""
         server = entry.server
         if entry.health is Health.GONE:
-            return self.bury(now_ns, server, generation)
-        belief = self.beliefs.get(server)
-        if belief is None or belief.place != place or belief.entry.started_ns != entry.started_ns:
-            heard_ns = belief.heard_ns if belief and belief.place == place else 0
-            belief = Belief(entry, place, Source.DISCOVERY, generation, now_ns, heard_ns)
-            self.beliefs[server] = belief
-        elif entry.health is Health.DRAINING and belief.entry.health is Health.READY:
-            self.news.add(server)
-        belief.entry, belief.source, belief.generation, belief.told_ns = (
+            return self.record_gone(now_ns, server, generation)
+        record = self.servers.get(server)
+        if record is None or record.address != address or record.entry.started_ns != entry.started_ns:
+            answered_ns = record.answered_ns if record and record.address == address else 0
+            record = ServerRecord(entry, address, EntrySource.DISCOVERY, generation, now_ns, answered_ns)
+            self.servers[server] = record
+        elif entry.health is Health.DRAINING and record.entry.health is Health.READY:
+            self.unannounced.add(server)
+        record.entry, record.source, record.generation, record.confirmed_ns = (
             entry,
-            Source.DISCOVERY,
+            EntrySource.DISCOVERY,
             generation,
             now_ns,
         )
-        belief.presumed_ns, belief.shut_ns, belief.absent_ns, belief.warned = 0, 0, 0, False
+        (
+            record.presumed_start_ns,
+            record.blocked_until_ns,
+            record.missing_since_ns,
+            record.reported_by_peer,
+        ) = (
+            0,
+            0,
+            0,
+            False,
+        )
         if entry.health is Health.READY:
-            self.gone.pop(server, None)
-
-    def bury(self, now_ns: int, server: bytes, generation: int) -> None:
-        """Discovery says, or its whole list shows, that a server is gone."""
-        if belief := self.beliefs.pop(server, None):
-            # Guards against a list that is older than the word on a drain wiping out that word's generation.
-            self.gone[server] = Gone(now_ns, max(generation, belief.generation), belief.entry.started_ns)
-            self.news.add(server)
+            self.tombstones.pop(server, None)
+
+    def record_gone(self, now_ns: int, server: bytes, generation: int) -> None:
+        """Remove a server that discovery reports as deleted or that its full list lacks."""
+        if record := self.servers.pop(server, None):
+            # The list may be older than the report of a drain: the later generation of the two must stay.
+            self.tombstones[server] = Tombstone(
+                now_ns, max(generation, record.generation), record.entry.started_ns
+            )
+            self.unannounced.add(server)
         else:
-            old = self.gone.get(server, Gone(0, 0, 0))
-            self.gone[server] = Gone(now_ns, max(generation, old.generation), old.born_ns)
-
-    def trim(self, now_ns: int) -> None:
-        """Guards against a memory of the dead without end: the oldest go first."""
-        for server in [s for s, g in self.gone.items() if now_ns - g.told_ns >= GONE_NS]:
-            del self.gone[server]
-        for server in list(self.gone)[: max(0, len(self.gone) - MOST_GONE)]:
-            del self.gone[server]
-
-    def alive(self, now_ns: int) -> Update | None:
-        """The watch spoke: whatever it did not mention is as it was."""
-        self.confirmed_ns = now_ns
-        if self.live or not self.taken:
+            old = self.tombstones.get(server, Tombstone(0, 0, 0))
+            self.tombstones[server] = Tombstone(now_ns, max(generation, old.generation), old.started_ns)
+
+    def expire_tombstones(self, now_ns: int) -> None:
+        """Bound the memory for servers that are gone: drop expired ones, and the oldest beyond the limit."""
+        for server in [s for s, t in self.tombstones.items() if now_ns - t.recorded_ns >= TOMBSTONE_TTL_NS]:
+            del self.tombstones[server]
+        for server in list(self.tombstones)[: max(0, len(self.tombstones) - MAX_TOMBSTONES)]:
+            del self.tombstones[server]
+
+    def watch_active(self, now_ns: int) -> Update | None:
+        """The watch has sent something: servers that it does not mention are unchanged."""
+        self.watch_confirmed_ns = now_ns
+        if self.live or not self.has_full_list:
             return None
-        self.live, self.back_ns = True, now_ns
-        return self.changed(now_ns, [])
+        self.live, self.watch_resumed_ns = True, now_ns
+        return self.publish(now_ns, [])
 
-    def lost(self, now_ns: int, heard_ns: int) -> Update:
-        """The watch has ended; ``heard_ns`` is when it last spoke."""
+    def watch_lost(self, now_ns: int, last_heard_ns: int) -> Update:
+        """The watch has ended; ``last_heard_ns`` is when it last sent something."""
         if self.live:
-            self.confirmed_ns = min(now_ns, max(heard_ns, 0))
+            self.watch_confirmed_ns = min(now_ns, max(last_heard_ns, 0))
         self.live = False
-        return self.changed(now_ns, [])
-
-    def moved(self, fleet: str) -> None:
-        """Another discovery: its numbers cannot be compared, and what is known stays until it has spoken."""
-        self.fleet, self.live, self.taken, self.generation = fleet, False, False, 0
-        # The numbers of the old one mean nothing to the new: only time may bring back what drained there.
-        self.gone = {s: replace(g, generation=1 << 62) for s, g in self.gone.items()}
-        for belief in self.beliefs.values():
-            belief.generation = 1 << 62
-
-    def warned(self, now_ns: int, drained: Iterable[bytes], digest: Mapping[bytes, bytes]) -> Update | None:
-        """Digests of servers that another limiter heard to drain or to be gone; ``digest`` is that of each
-        server.
-
-        It counts only where no living watch vouches for the server, and until one does."""
+        return self.publish(now_ns, [])
+
+    def change_discovery(self, fleet_name: str) -> None:
+        """Switch to another discovery, whose generations cannot be compared with those of the old one; what
+        is known stays until it has sent a list."""
+        self.fleet_name, self.live, self.has_full_list, self.generation = fleet_name, False, False, 0
+        # No generation of the new discovery may bring back a server that drained under the old one: only time
+        # may.
+        self.tombstones = {s: replace(t, generation=1 << 62) for s, t in self.tombstones.items()}
+        for record in self.servers.values():
+            record.generation = 1 << 62
+
+    def apply_peer_report(
+        self, now_ns: int, drained: Iterable[bytes], digests: Mapping[bytes, bytes]
+    ) -> Update | None:
+        """Another limiter reports servers that drain or are gone, by their digests; ``digests`` has that of
+        each known server.
+
+        The report counts only while no live watch confirms the servers."""
         if self.live:
             return None
-        said, changed = set(drained), False
-        for server, belief in self.beliefs.items():
-            if digest.get(server) in said and belief.entry.health is Health.READY and not belief.warned:
-                belief.warned = changed = True
-        return self.changed(now_ns, []) if changed else None
+        reported, changed = set(drained), False
+        for server, record in self.servers.items():
+            if (
+                digests.get(server) in reported
+                and record.entry.health is Health.READY
+                and not record.reported_by_peer
+            ):
+                record.reported_by_peer = changed = True
+        return self.publish(now_ns, []) if changed else None
 
     # Proof
 
     def record_outcome(self, now_ns: int, server: bytes, outcome: Outcome) -> Update | None:
-        """An attempt at a server, or a probe, ended."""
-        belief = self.beliefs.get(server)
-        if belief is None:
+        """Count the end of an attempt or a probe of a server."""
+        record = self.servers.get(server)
+        if record is None:
             return None
         if outcome is Outcome.OK:
-            belief.heard_ns, belief.fails = now_ns, 0
-            belief.answers += 1
+            record.answered_ns, record.failures = now_ns, 0
+            record.answers += 1
             if self.live:
                 return None
-            belief.asked = True
-            return self.rejudged(now_ns) if belief.trust < Trust.TOLD else None
-        if self.live or outcome not in FAILED:
+            record.contacted = True
+            return self.publish_if_small(now_ns) if record.trust < Trust.TOLD else None
+        if self.live or outcome not in FAILURES:
             return None
-        belief.asked = True
-        if belief.trust < Trust.TOLD or outcome in BROKEN:
-            # An error or a time-out of a server that has proved itself is the module's to deal with.
-            belief.answers = 0
-            belief.fails += 1
-            belief.shut_ns = now_ns + min(SHUT_NS[0] << min(belief.fails - 1, 20), SHUT_NS[1])
-        if outcome in BROKEN:
-            belief.presumed_ns = now_ns  # it may have started again, and nobody can say so
-        return self.rejudged(now_ns)
-
-    def rejudged(self, now_ns: int) -> Update | None:
-        """Guards against walking a large fleet at each answer: there the next tick does it."""
-        return self.changed(now_ns, []) if len(self.beliefs) <= SMALL else None
+        record.contacted = True
+        if record.trust < Trust.TOLD or outcome in CONNECTION_FAILURES:
+            # Errors and timeouts of a server that has proved itself are left to the decision module.
+            record.answers = 0
+            record.failures += 1
+            record.blocked_until_ns = now_ns + min(
+                BACKOFF_NS[0] << min(record.failures - 1, 20), BACKOFF_NS[1]
+            )
+        if outcome in CONNECTION_FAILURES:
+            record.presumed_start_ns = now_ns  # it may have restarted, and no source can report that
+        return self.publish_if_small(now_ns)
+
+    def publish_if_small(self, now_ns: int) -> Update | None:
+        """Publish at once in a small fleet; in a large one the next tick does, because evaluating all servers
+        after each answer would cost too much."""
+        return self.publish(now_ns, []) if len(self.servers) <= SMALL_FLEET else None
 
     def tick(self, now_ns: int) -> Update | None:
-        """Time has passed: trust that ages, what was shut for a while, doubts that have run out."""
+        """Apply the passing of time: ages, ends of back-off, and doubted lists whose time is over."""
         doubted = [
-            s for s, b in self.beliefs.items() if b.absent_ns and now_ns - b.absent_ns >= self.doubt_ns
+            s
+            for s, r in self.servers.items()
+            if r.missing_since_ns and now_ns - r.missing_since_ns >= self.doubt_ns
         ]
         for server in doubted:
-            self.bury(now_ns, server, self.generation)
-        if self.live and not doubted and not any(b.absent_ns for b in self.beliefs.values()):
+            self.record_gone(now_ns, server, self.generation)
+        if self.live and not doubted and not any(r.missing_since_ns for r in self.servers.values()):
             return None
-        return self.changed(now_ns, [])
+        return self.publish(now_ns, [])
 
     @property
-    def restless(self) -> bool:
-        """Whether time alone can change anything."""
-        return not self.live or any(b.absent_ns for b in self.beliefs.values())
+    def needs_tick(self) -> bool:
+        """Whether the passing of time alone can change anything."""
+        return not self.live or any(r.missing_since_ns for r in self.servers.values())
 
     # Trust
 
-    def vouched_ns(self, belief: Belief) -> int:
-        """When somebody who would have known last vouched for a server."""
-        if belief.source is Source.DISCOVERY:
-            return max(belief.told_ns, self.confirmed_ns)
-        return belief.told_ns
-
-    def judge(self, now_ns: int) -> None:
-        """Settle the trust of every server."""
-        if len(self.order) != len(self.beliefs) or any(s not in self.beliefs for s in self.order):
-            order = sorted(self.beliefs, key=zlib.crc32)
-            first = self.place * len(order) // self.limiters
-            self.order = order[first:] + order[:first]
-        opened, ready = 0, sum(b.entry.health is Health.READY for b in self.beliefs.values())
-        for server in self.order:
-            belief = self.beliefs[server]
-            if belief.absent_ns:
-                belief.trust = Trust.SAFE
-            elif belief.entry.health is not Health.READY or belief.warned:
-                belief.trust = Trust.NONE
-            elif self.live and belief.source is Source.DISCOVERY:
-                belief.trust = Trust.TOLD
+    def confirmed_ns(self, record: ServerRecord) -> int:
+        """When a server was last confirmed by its source."""
+        if record.source is EntrySource.DISCOVERY:
+            return max(record.confirmed_ns, self.watch_confirmed_ns)
+        return record.confirmed_ns
+
+    def evaluate_trust(self, now_ns: int) -> None:
+        """Set the trust of every server, and the source of the whole list."""
+        if len(self.trial_order) != len(self.servers) or any(s not in self.servers for s in self.trial_order):
+            order = sorted(self.servers, key=zlib.crc32)
+            first = self.index * len(order) // self.limiters
+            self.trial_order = order[first:] + order[:first]
+        on_trial, ready = 0, sum(r.entry.health is Health.READY for r in self.servers.values())
+        for server in self.trial_order:
+            record = self.servers[server]
+            if record.missing_since_ns:
+                record.trust = Trust.SAFE
+            elif record.entry.health is not Health.READY or record.reported_by_peer:
+                record.trust = Trust.NONE
+            elif self.live and record.source is EntrySource.DISCOVERY:
+                record.trust = Trust.TOLD
             else:
-                point = self.curve.at(now_ns - self.vouched_ns(belief))
-                proof = belief.answers >= point.answers and now_ns - belief.heard_ns < PROOF_NS
-                if not point.answers and belief.shut_ns <= now_ns or point.answers and proof:
-                    belief.trust = Trust.TOLD
-                elif belief.shut_ns > now_ns or opened >= max(LEAST_OPEN, math.ceil(point.open_part * ready)):
-                    belief.trust = Trust.NONE
+                point = self.curve.at(now_ns - self.confirmed_ns(record))
+                proved = record.answers >= point.answers and now_ns - record.answered_ns < PROOF_VALID_NS
+                if not point.answers and record.blocked_until_ns <= now_ns or point.answers and proved:
+                    record.trust = Trust.TOLD
+                elif record.blocked_until_ns > now_ns or on_trial >= max(
+                    MIN_ON_TRIAL, math.ceil(point.open_part * ready)
+                ):
+                    record.trust = Trust.NONE
                 else:
-                    belief.trust = Trust.CAREFUL if point.claims else Trust.SAFE
-                    opened += 1
+                    record.trust = Trust.CAREFUL if point.claims else Trust.SAFE
+                    on_trial += 1
         if self.live:
-            self.state = State.TOLD
+            self.source = ListSource.LIVE_DISCOVERY
         else:
-            rank = max((b.source for b in self.beliefs.values()), default=None)
-            self.state = {
-                None: State.NONE,
-                Source.CONFIGURATION: State.CONFIGURATION,
-                Source.KEPT: State.KEPT,
-                Source.DISCOVERY: State.LAST_WORD,
+            rank = max((r.source for r in self.servers.values()), default=None)
+            self.source = {
+                None: ListSource.NONE,
+                EntrySource.CONFIGURATION: ListSource.CONFIGURATION,
+                EntrySource.SNAPSHOT: ListSource.SNAPSHOT,
+                EntrySource.DISCOVERY: ListSource.LOST_DISCOVERY,
             }[rank]
 
-    def hand(self, belief: Belief) -> ServerEntry:
-        """The entry as the module gets it."""
-        health = Health.DRAINING if belief.warned else belief.entry.health
-        presumed_ns = 0 if self.live and belief.source is Source.DISCOVERY else belief.presumed_ns
-        return replace(belief.entry, health=health, trust=belief.trust, presumed_start_ns=presumed_ns)
+    def published_entry(self, record: ServerRecord) -> ServerEntry:
+        """The entry as the decision module gets it."""
+        health = Health.DRAINING if record.reported_by_peer else record.entry.health
+        presumed_start_ns = (
+            0 if self.live and record.source is EntrySource.DISCOVERY else record.presumed_start_ns
+        )
+        return replace(record.entry, health=health, trust=record.trust, presumed_start_ns=presumed_start_ns)
 
-    def changed(self, now_ns: int, lines: list[str]) -> Update:
-        """Judge all anew, and hand on what differs from what the module has."""
-        before = self.state
-        self.judge(now_ns)
+    def publish(self, now_ns: int, log_lines: list[str]) -> Update:
+        """Evaluate trust, and return the entries that differ from what the decision module has."""
+        before = self.source
+        self.evaluate_trust(now_ns)
         entries = list[ServerEntry]()
-        for server in [s for s in self.handed if s not in self.beliefs]:
-            entries.append(replace(self.handed.pop(server), health=Health.GONE))
-        for server, belief in self.beliefs.items():
-            if (entry := self.hand(belief)) != self.handed.get(server):
-                self.handed[server] = entry
+        for server in [s for s in self.published if s not in self.servers]:
+            entries.append(replace(self.published.pop(server), health=Health.GONE))
+        for server, record in self.servers.items():
+            if (entry := self.published_entry(record)) != self.published.get(server):
+                self.published[server] = entry
                 entries.append(entry)
-        if self.state is not before:
-            lines.append(self.report(now_ns).line())
-        places = {e.server: self.beliefs[e.server].place for e in entries if e.server in self.beliefs}
-        return Update(ServerList(ListKind.DELTA, tuple(entries)) if entries else None, places, lines)
+        if self.source is not before:
+            log_lines.append(self.report(now_ns).to_log_line())
+        addresses = {e.server: self.servers[e.server].address for e in entries if e.server in self.servers}
+        return Update(ServerList(ListKind.DELTA, tuple(entries)) if entries else None, addresses, log_lines)
 
-    # What is kept, and told
+    # Snapshot and reports
 
-    def kept(self, now_ns: int) -> Snapshot:
-        """The list as it is to be kept; doubted servers are left out, as discovery did not name them."""
-        self.trim(now_ns)
+    def snapshot(self, now_ns: int) -> Snapshot:
+        """The list to be saved; servers that a doubted list lacks are left out, since discovery did not list
+        them."""
+        self.expire_tombstones(now_ns)
         servers = tuple(
             SnapshotEntry(
-                b.entry, b.place, b.generation, now_ns if self.live else self.vouched_ns(b), b.heard_ns
+                r.entry,
+                r.address,
+                r.generation,
+                now_ns if self.live else self.confirmed_ns(r),
+                r.answered_ns,
             )
-            for b in self.beliefs.values()
-            if not b.absent_ns
+            for r in self.servers.values()
+            if not r.missing_since_ns
         )
-        return Snapshot(self.fleet, self.generation, now_ns, servers, dict(self.gone))
+        return Snapshot(self.fleet_name, self.generation, now_ns, servers, dict(self.tombstones))
 
-    def report(self, now_ns: int) -> Report:
+    def report(self, now_ns: int) -> TrustReport:
         """How far the list is trusted at this moment."""
-        ready = [b for b in self.beliefs.values() if b.entry.health is Health.READY and not b.warned]
+        ready = [
+            r for r in self.servers.values() if r.entry.health is Health.READY and not r.reported_by_peer
+        ]
         ages = [
-            now_ns - self.vouched_ns(b) for b in ready if not (self.live and b.source is Source.DISCOVERY)
+            now_ns - self.confirmed_ns(r)
+            for r in ready
+            if not (self.live and r.source is EntrySource.DISCOVERY)
         ]
-        asked = [b for b in self.beliefs.values() if b.asked]
-        return Report(
-            state=self.state,
+        contacted = [r for r in self.servers.values() if r.contacted]
+        return TrustReport(
+            source=self.source,
             age_s=max(ages, default=0) / SECOND_NS,
-            trusted=sum(b.trust is Trust.TOLD for b in ready),
-            tried=sum(Trust.NONE < b.trust < Trust.TOLD for b in ready),
-            withheld=sum(b.trust is Trust.NONE for b in ready),
-            draining=len(self.beliefs) - len(ready),
-            asked=len(asked),
-            wrong=sum(not b.answers and b.fails > 0 for b in asked),
+            trusted=sum(r.trust is Trust.TOLD for r in ready),
+            tried=sum(Trust.NONE < r.trust < Trust.TOLD for r in ready),
+            withheld=sum(r.trust is Trust.NONE for r in ready),
+            draining=len(self.servers) - len(ready),
+            asked=len(contacted),
+            wrong=sum(not r.answers and r.failures > 0 for r in contacted),
         )
 
-    def drained(self, now_ns: int) -> list[bytes]:
-        """Servers that drain or have gone, by this limiter's own list: what it may tell others, youngest
+    def drained_servers(self, now_ns: int) -> list[bytes]:
+        """Servers that drain or are gone by this limiter's own list, to be reported to others, the latest
         first."""
-        told = {s: g.told_ns for s, g in self.gone.items()}
-        told |= {s: b.told_ns for s, b in self.beliefs.items() if b.entry.health is Health.DRAINING}
-        return sorted((s for s, at in told.items() if now_ns - at < GONE_NS), key=lambda s: -told[s])
+        reported = {s: t.recorded_ns for s, t in self.tombstones.items()}
+        reported |= {s: r.confirmed_ns for s, r in self.servers.items() if r.entry.health is Health.DRAINING}
+        return sorted(
+            (s for s, at in reported.items() if now_ns - at < TOMBSTONE_TTL_NS), key=lambda s: -reported[s]
+        )
--- a/hookport/membership/members.py
+++ b/hookport/membership/members.py
@@ -1,9 +1,9 @@
-"""The beliefs put into the daemon: discovery's word goes through them to the module, and they are kept on
-disk.
+"""Connects the fleet view to the daemon: discovery's lists pass through it to the decision module, and the
+list is saved on disk.
 
-Off, the daemon hands lists of discovery to the module as they come.  On, ``MembershipManager`` stands between
-the two.  It decides nothing (``FleetView`` does) and holds no request up: the disk is written by a thread,
-one write at a time."""
+If the option ``membership`` is off, the daemon hands discovery's lists to the decision module directly.  If
+it is on, ``MembershipManager`` stands between the two.  ``FleetView`` makes all decisions, and no request
+waits for the disk: a thread writes it, one write at a time."""
 
 from __future__ import annotations
 
@@ -18,37 +18,41 @@
 from hookport.config import Address, Names
 from hookport.membership import messages, snapshot_codec
 from hookport.membership.curve import DEFAULT_POINTS, SECOND_NS, TrustCurve, TrustPoint
-from hookport.membership.fleet import FleetView, State, Update
+from hookport.membership.fleet import FleetView, ListSource, Update
 from hookport.membership.snapshot_file import SnapshotFile
 from hookport.options import Membership
 
 log = logging.getLogger("hookport.membership")
 
-TICK_S = 0.25  # while time alone can change what is trusted
-PROBE_S = 1.0  # between two probes of one server
-PROBES = 4  # out at one time
-WORD_S = 1.0  # between two datagrams of this kind at least
-ASK_S = 5.0  # between two questions to the others, while discovery says nothing
-RETRY_MOST = 12  # times write_s: how far writes that fail are spaced
+TICK_S = 0.25  # between two ticks while the passing of time can change trust; else four times as long
+PROBE_INTERVAL_S = 1.0  # between two probes of one server
+MAX_PROBES = 4  # in flight at one time
+REPORT_INTERVAL_S = 1.0  # minimum time between two reports to the other limiters
+QUERY_INTERVAL_S = 5.0  # mean time between two queries to the other limiters while discovery is unavailable
+MAX_SAVE_BACKOFF = 12  # times write_s: the longest delay before a failed save is repeated
 
 
-class Door(Protocol):
-    """What the daemon offers: ``apply_server_list`` hands a list on, the others say and look."""
+class Daemon(Protocol):
+    """What the manager needs of the daemon: ``apply_server_list`` hands a list to the decision module."""
 
-    def apply_server_list(self, told: ServerList, places: dict[bytes, Address]) -> None: ...
+    def apply_server_list(self, server_list: ServerList, addresses: dict[bytes, Address]) -> None: ...
     def send_to_peers(self, peer: int | None, payload: bytes) -> None: ...
     def probe(self, server: bytes, ended: Callable[[bool], None]) -> None: ...
 
 
-class Watched(Protocol):
-    """What is asked of discovery."""
+class DiscoveryState(Protocol):
+    """What the manager needs of discovery: the generation of its list, and when its watch last sent
+    something, by the clock of the event loop."""
 
     generation: int
     heard_s: float
 
 
 class MembershipManager:
-    """``now_ns`` is the module's clock, in Unix nanoseconds; ``index`` of ``limiters`` is this limiter."""
+    """The membership of one limiter.
+
+    ``now_ns`` is the decision module's clock, in Unix nanoseconds; this limiter is number ``index`` of
+    ``limiters``; ``fleet`` names the fleet unless the options do."""
 
     def __init__(
         self,
@@ -59,13 +63,13 @@
         fleet: str,
         index: int,
         limiters: int,
-        door: Door,
+        daemon: Daemon,
         now_ns: Callable[[], int],
         may_probe: bool,
         seed: int,
         file: SnapshotFile | None = None,
     ) -> None:
-        self.loop, self.options, self.names, self.door, self.now_ns = loop, options, names, door, now_ns
+        self.loop, self.options, self.names, self.daemon, self.now_ns = loop, options, names, daemon, now_ns
         self.may_probe, self.random = may_probe, random.Random(seed)
         rows = [TrustPoint(r.age_s, r.open_part, r.answers, r.claims) for r in options.trust]
         self.fleet = FleetView(
@@ -78,156 +82,171 @@
             round(options.doubt_s * SECOND_NS),
         )
         self.file = file or SnapshotFile(options.path.replace("{name}", name))
-        self.discovery: Watched | None = None
+        self.discovery: DiscoveryState | None = None
         self.digests: dict[bytes, bytes] = {}
-        self.probes: dict[bytes, float] = {}  # by server: when it was probed last
-        self.probing = 0
-        self.word_s = self.ask_s = self.again_s = 0.0
-        self.writing: asyncio.Future[None] | None = None
-        self.dirty, self.saved_s, self.failures = False, 0.0, 0
+        self.last_probe_s: dict[bytes, float] = {}  # by server
+        self.probes_in_flight = 0
+        self.last_report_s = self.next_query_s = self.next_save_s = 0.0
+        self.pending_save: asyncio.Future[None] | None = None
+        self.dirty, self.last_saved_s, self.save_failures = False, 0.0, 0
         self.timer: asyncio.TimerHandle | None = None
         self.closed = False
 
     # From discovery
 
-    def receive_list(self, told: ServerList, places: dict[bytes, Address]) -> None:
-        """In the place of the daemon's own ``apply_server_list``."""
+    def receive_list(self, server_list: ServerList, addresses: dict[bytes, Address]) -> None:
+        """Take a list of discovery, in place of the daemon's own ``apply_server_list``."""
         now_ns = self.now_ns()
         generation = self.discovery.generation if self.discovery else 0
-        if told.kind is ListKind.CACHED:
-            kept, wrong = self.file.load(self.names, self.fleet.fleet)
-            for line in wrong:
-                log.warning("%s", line)
-            if kept and kept.saved_ns > now_ns:
-                log.warning("the kept list was written %.0f s from now: a clock is wrong, its age is unknown",
-                            (kept.saved_ns - now_ns) / SECOND_NS)  # fmt: skip
-            self.out(self.fleet.start(now_ns, kept, told, places, generation))
-            return self.turn()
-        if told.kind is ListKind.FAILED:
+        if server_list.kind is ListKind.CACHED:
+            snapshot, problems = self.file.load(self.names, self.fleet.fleet_name)
+            for problem in problems:
+                log.warning("%s", problem)
+            if snapshot and snapshot.saved_ns > now_ns:
+                log.warning(
+                    "the saved server list was written %.0f s in the future: a clock is wrong, and the age "
+                    "of the list is unknown",
+                    (snapshot.saved_ns - now_ns) / SECOND_NS,
+                )
+            self.apply(self.fleet.start(now_ns, snapshot, server_list, addresses, generation))
+            return self.tick()
+        if server_list.kind is ListKind.FAILED:
             silent_s = self.loop.time() - self.discovery.heard_s if self.discovery else 0.0
-            self.out(self.fleet.lost(now_ns, now_ns - round(silent_s * SECOND_NS)))
-            return self.door.apply_server_list(told, places)
-        self.out(self.fleet.told(now_ns, generation, told, places))
+            self.apply(self.fleet.watch_lost(now_ns, now_ns - round(silent_s * SECOND_NS)))
+            return self.daemon.apply_server_list(server_list, addresses)
+        self.apply(self.fleet.apply_discovery_list(now_ns, generation, server_list, addresses))
         self.dirty = True
-        self.spread_word()
+        self.report_drained()
 
     def watch_active(self) -> None:
-        """The watch spoke."""
-        if update := self.fleet.alive(self.now_ns()):
-            self.out(update)
+        """The watch has sent something other than a list."""
+        if update := self.fleet.watch_active(self.now_ns()):
+            self.apply(update)
 
     def change_discovery(self, fleet: str) -> None:
-        self.fleet.moved(self.options.fleet or fleet)
+        """The configuration names another discovery; ``fleet`` is its fleet unless the options name one."""
+        self.fleet.change_discovery(self.options.fleet or fleet)
 
     def jittered_wait_s(self, wait_s: float) -> float:
-        """How long to wait before discovery is asked again: spread, so that limiters do not ask as one."""
+        """A wait of 0.5 to 1.5 times ``wait_s``, so that limiters do not reconnect to discovery together."""
         return wait_s * self.random.uniform(0.5, 1.5)
 
     # From servers
 
     def record_outcome(self, server: bytes, outcome: Outcome) -> None:
+        """An attempt at a server, or a probe, has ended."""
         if update := self.fleet.record_outcome(self.now_ns(), server, outcome):
-            self.out(update)
+            self.apply(update)
 
     def probe(self) -> None:
-        """Look at servers that have yet to prove themselves, where the settings allow it."""
+        """Probe servers that are on trial; only called if the settings permit probes."""
         now_s = self.loop.time()
-        for server, belief in list(self.fleet.beliefs.items()):
-            unproved = Trust.NONE < belief.trust < Trust.TOLD and not belief.absent_ns
-            if not unproved or self.probing >= PROBES or now_s - self.probes.get(server, -PROBE_S) < PROBE_S:
+        for server, record in list(self.fleet.servers.items()):
+            on_trial = Trust.NONE < record.trust < Trust.TOLD and not record.missing_since_ns
+            if (
+                not on_trial
+                or self.probes_in_flight >= MAX_PROBES
+                or now_s - self.last_probe_s.get(server, -PROBE_INTERVAL_S) < PROBE_INTERVAL_S
+            ):
                 continue
-            self.probes[server] = now_s
-            self.probing += 1
-            self.door.probe(server, functools.partial(self.probed, server))
+            self.last_probe_s[server] = now_s
+            self.probes_in_flight += 1
+            self.daemon.probe(server, functools.partial(self.probe_ended, server))
 
-    def probed(self, server: bytes, well: bool) -> None:
-        self.probing -= 1
+    def probe_ended(self, server: bytes, succeeded: bool) -> None:
+        self.probes_in_flight -= 1
         if not self.closed:
-            self.record_outcome(server, Outcome.OK if well else Outcome.CONNECT_FAILED)
+            self.record_outcome(server, Outcome.OK if succeeded else Outcome.CONNECT_FAILED)
 
     # Between limiters
 
     def receive_message(self, payload: bytes) -> None:
-        """A datagram of this kind came."""
+        """Handle a datagram of ``messages`` from another limiter."""
         now_s = self.loop.time()
         if payload == messages.QUERY:
-            if now_s - self.word_s >= WORD_S and (
-                report := messages.encode_report(self.fleet.drained(self.now_ns()))
+            if now_s - self.last_report_s >= REPORT_INTERVAL_S and (
+                report := messages.encode_report(self.fleet.drained_servers(self.now_ns()))
             ):
-                self.word_s = now_s
-                self.door.send_to_peers(None, report)
+                self.last_report_s = now_s
+                self.daemon.send_to_peers(None, report)
             return
         if drained := messages.decode_report(payload):
-            self.digests = {s: self.digests.get(s) or messages.server_digest(s) for s in self.fleet.beliefs}
-            if update := self.fleet.warned(self.now_ns(), drained, self.digests):
-                log.warning("other limiters say that %d servers drain or have gone",
-                            sum(b.warned for b in self.fleet.beliefs.values()))  # fmt: skip
-                self.out(update)
-
-    def spread_word(self) -> None:
-        """Tell the others what has drained since the last word."""
-        if self.fleet.news and self.loop.time() - self.word_s >= WORD_S:
-            self.word_s = self.loop.time()
-            said = messages.encode_report(sorted(self.fleet.news))
-            self.fleet.news.clear()
-            self.door.send_to_peers(None, said)
+            self.digests = {s: self.digests.get(s) or messages.server_digest(s) for s in self.fleet.servers}
+            if update := self.fleet.apply_peer_report(self.now_ns(), drained, self.digests):
+                log.warning("other limiters report that %d servers drain or are gone",
+                            sum(r.reported_by_peer for r in self.fleet.servers.values()))  # fmt: skip
+                self.apply(update)
+
+    def report_drained(self) -> None:
+        """Tell the other limiters which servers have begun to drain or gone since the last report."""
+        if self.fleet.unannounced and self.loop.time() - self.last_report_s >= REPORT_INTERVAL_S:
+            self.last_report_s = self.loop.time()
+            report = messages.encode_report(sorted(self.fleet.unannounced))
+            self.fleet.unannounced.clear()
+            self.daemon.send_to_peers(None, report)
 
     # Time
 
-    def turn(self) -> None:
-        """Once a tick: what time changes, probes, words, and the disk."""
+    def tick(self) -> None:
+        """Run periodically: age the trust, send probes, queries and reports, and save the list."""
         if self.closed:
             return
         now_s = self.loop.time()
-        if self.fleet.restless:
+        if self.fleet.needs_tick:
             if update := self.fleet.tick(self.now_ns()):
-                self.out(update)
+                self.apply(update)
             if self.may_probe:
                 self.probe()
-            if self.fleet.state in (State.KEPT, State.CONFIGURATION) and now_s >= self.ask_s:
-                self.ask_s = now_s + self.jittered_wait_s(ASK_S)
-                self.door.send_to_peers(None, messages.QUERY)
-        self.spread_word()
-        if now_s >= self.again_s and (self.dirty or now_s - self.saved_s >= self.options.refresh_s):
+            if (
+                self.fleet.source in (ListSource.SNAPSHOT, ListSource.CONFIGURATION)
+                and now_s >= self.next_query_s
+            ):
+                self.next_query_s = now_s + self.jittered_wait_s(QUERY_INTERVAL_S)
+                self.daemon.send_to_peers(None, messages.QUERY)
+        self.report_drained()
+        if now_s >= self.next_save_s and (self.dirty or now_s - self.last_saved_s >= self.options.refresh_s):
             self.save()
-        self.timer = self.loop.call_later(TICK_S if self.fleet.restless else 4 * TICK_S, self.turn)
+        self.timer = self.loop.call_later(TICK_S if self.fleet.needs_tick else 4 * TICK_S, self.tick)
 
-    def out(self, update: Update) -> None:
-        for line in update.lines:
+    def apply(self, update: Update) -> None:
+        """Write the log lines of an update, and hand its list to the decision module."""
+        for line in update.log_lines:
             log.info("%s", line)
         if update.server_list:
-            self.door.apply_server_list(update.server_list, update.addresses)
+            self.daemon.apply_server_list(update.server_list, update.addresses)
 
     def status_line(self) -> str:
         """How far the servers are trusted, for the log."""
-        return self.fleet.report(self.now_ns()).line()
+        return self.fleet.report(self.now_ns()).to_log_line()
 
     # The disk
 
     def save(self) -> None:
-        """Write the list, unless a write is out already or there is nothing that discovery ever vouched
-        for."""
-        if self.writing or not self.fleet.taken:
+        """Start to save the list, unless a save is pending or the present discovery has not sent a full list
+        yet."""
+        if self.pending_save or not self.fleet.has_full_list:
             return
         self.dirty = False
-        data = snapshot_codec.encode(self.fleet.kept(self.now_ns()), self.names)
-        self.again_s = self.loop.time() + self.options.write_s
-        self.writing = self.loop.run_in_executor(None, self.file.save, data)
-        self.writing.add_done_callback(self.saved)
-
-    def saved(self, writing: asyncio.Future[None]) -> None:
-        self.writing = None
-        error = None if writing.cancelled() else writing.exception()
+        data = snapshot_codec.encode(self.fleet.snapshot(self.now_ns()), self.names)
+        self.next_save_s = self.loop.time() + self.options.write_s
+        self.pending_save = self.loop.run_in_executor(None, self.file.save, data)
+        self.pending_save.add_done_callback(self.save_ended)
+
+    def save_ended(self, pending_save: asyncio.Future[None]) -> None:
+        self.pending_save = None
+        error = None if pending_save.cancelled() else pending_save.exception()
         if error is None:
-            if self.failures:
-                log.info("the list is kept again")
-            self.saved_s, self.failures = self.loop.time(), 0
+            if self.save_failures:
+                log.info("the server list is saved again")
+            self.last_saved_s, self.save_failures = self.loop.time(), 0
             return
-        self.failures += 1
-        if self.failures == 1:
-            log.error("the list is no longer kept: %s", error)
+        self.save_failures += 1
+        if self.save_failures == 1:
+            log.error("the server list cannot be saved: %s", error)
         self.dirty = True
-        self.again_s = self.loop.time() + self.options.write_s * min(2**self.failures, RETRY_MOST)
+        self.next_save_s = self.loop.time() + self.options.write_s * min(
+            2**self.save_failures, MAX_SAVE_BACKOFF
+        )
 
     def close(self) -> None:
         self.closed = True
--- a/hookport/membership/snapshot_codec.py
+++ b/hookport/membership/snapshot_codec.py
@@ -18,7 +18,7 @@
 from aniseshed.interface import Health
 from hookport.config import Names
 from hookport.discovery import HEALTHS, read_entry
-from hookport.membership.fleet import MOST_GONE, MOST_SERVERS, Gone, Snapshot, SnapshotEntry
+from hookport.membership.fleet import MAX_SERVERS, MAX_TOMBSTONES, Snapshot, SnapshotEntry, Tombstone
 
 FORMAT_VERSION = 1
 MAX_FILE_BYTES = 16 << 20  # larger files are rejected
@@ -40,8 +40,8 @@
         "saved_ns": snapshot.saved_ns,
         "servers": [encode_entry(saved, zones, kinds) for saved in snapshot.servers],
         "gone": {
-            server.decode(): [gone.told_ns, gone.generation, gone.born_ns]
-            for server, gone in snapshot.gone.items()
+            server.decode(): [tombstone.recorded_ns, tombstone.generation, tombstone.started_ns]
+            for server, tombstone in snapshot.tombstones.items()
         },
     }
     body = json.dumps(document, separators=(",", ":")).encode() + b"\n"
@@ -85,18 +85,18 @@
     try:
         document = json.loads(body)
         servers = tuple(decode_entry(row, names) for row in document["servers"])
-        gone = {
-            server.encode(): Gone(parse_time_ns(at), parse_integer(generation), parse_time_ns(born))
-            for server, (at, generation, born) in document["gone"].items()
+        tombstones = {
+            server.encode(): Tombstone(parse_time_ns(at), parse_integer(generation), parse_time_ns(started))
+            for server, (at, generation, started) in document["gone"].items()
         }
-        if len(servers) > MOST_SERVERS or len(gone) > MOST_GONE + MOST_SERVERS:
-            raise ValueError(f"too many entries: {len(servers)} servers, {len(gone)} gone")
+        if len(servers) > MAX_SERVERS or len(tombstones) > MAX_TOMBSTONES + MAX_SERVERS:
+            raise ValueError(f"too many entries: {len(servers)} servers, {len(tombstones)} gone")
         return Snapshot(
             str(document["fleet"]),
             parse_integer(document["generation"]),
             parse_time_ns(document["saved_ns"]),
             servers,
-            gone,
+            tombstones,
         )
     except Exception as error:
         raise SnapshotError(f"the file has no valid server list: {type(error).__name__}: {error}") from error
--- a/hookport/membership/snapshot_file.py
+++ b/hookport/membership/snapshot_file.py
@@ -91,7 +91,7 @@
                 snapshot = snapshot_codec.decode(data, names)
                 if snapshot.fleet != fleet:
                     raise snapshot_codec.SnapshotError(
-                        f"the file is of fleet {snapshot.fleet!r:.80}, this limiter of {fleet!r:.80}"
+                        f"the file belongs to fleet {snapshot.fleet!r:.80}, this limiter to {fleet!r:.80}"
                     )
                 return snapshot, problems
             except FileNotFoundError:
--- a/tests/test_kept_list.py
+++ b/tests/test_kept_list.py
@@ -13,14 +13,14 @@
 from pathlib import Path
 
 import pytest
-from test_beliefs import NOW, entry, kept
+from test_beliefs import NOW, entry, snapshot
 
 from aniseshed.interface import Health, ListKind, ServerList
 from hookport.cli import main
 from hookport.config import Names
 from hookport.membership import snapshot_codec
 from hookport.membership.curve import SECOND_NS, TrustCurve
-from hookport.membership.fleet import FleetView, Gone, Snapshot
+from hookport.membership.fleet import FleetView, Snapshot, Tombstone
 from hookport.membership.snapshot_file import SnapshotFile
 from hookport.options import OptionsError, load, parse, schema
 
@@ -79,18 +79,20 @@
 
 
 def encoded(generation: int, servers: int = 3) -> bytes:
-    return snapshot_codec.encode(kept(10, *(entry(n) for n in range(servers)), generation=generation), NAMES)
+    return snapshot_codec.encode(
+        snapshot(10, *(entry(n) for n in range(servers)), generation=generation), NAMES
+    )
 
 
 def loaded_generation(disk: SimulatedDisk) -> int | None:
-    snapshot, _ = SnapshotFile("k", disk).load(NAMES, "f")
-    return snapshot.generation if snapshot else None
+    saved, _ = SnapshotFile("k", disk).load(NAMES, "f")
+    return saved.generation if saved else None
 
 
 def test_decoding_an_encoded_snapshot_returns_an_equal_snapshot() -> None:
-    gone = {b"s-9": Gone(NOW, 39, 5)}
-    snapshot = kept(10, entry(1, Health.DRAINING, 7_000_000), entry(2), gone=gone)
-    assert snapshot_codec.decode(snapshot_codec.encode(snapshot, NAMES), NAMES) == snapshot
+    tombstones = {b"s-9": Tombstone(NOW, 39, 5)}
+    saved = snapshot(10, entry(1, Health.DRAINING, 7_000_000), entry(2), tombstones=tombstones)
+    assert snapshot_codec.decode(snapshot_codec.encode(saved, NAMES), NAMES) == saved
 
 
 def test_after_a_power_loss_at_any_step_of_a_save_the_old_or_the_new_snapshot_loads() -> None:
@@ -137,10 +139,10 @@
     good, old = encoded(2), encoded(1)
     for at in range(len(good)):
         for data in (good[:at], good[:at] + bytes([good[at] ^ 0x10]) + good[at + 1 :]):
-            snapshot, problems = SnapshotFile("k", SimulatedDisk({"k": data, "k.old": old})).load(NAMES, "f")
+            saved, problems = SnapshotFile("k", SimulatedDisk({"k": data, "k.old": old})).load(NAMES, "f")
             assert (
-                snapshot
-                and snapshot.generation == 1
+                saved
+                and saved.generation == 1
                 and len(problems) == 1
                 and "k is not used: the file" in problems[0]
             )
@@ -159,14 +161,14 @@
             )
         header = b"hookport-kept 1 %08x %d\n" % (zlib.crc32(data), len(data))
         try:
-            snapshot = snapshot_codec.decode(header + bytes(data), NAMES)
+            saved = snapshot_codec.decode(header + bytes(data), NAMES)
         except snapshot_codec.SnapshotError:
             continue
         accepted += 1
         fleet = FleetView("f", 0, 1, TrustCurve(), 14 * 86_400 * SECOND_NS)
-        update = fleet.start(NOW, snapshot, ServerList(ListKind.CACHED, ()), {})
+        update = fleet.start(NOW, saved, ServerList(ListKind.CACHED, ()), {})
         assert update.server_list and len(update.server_list.entries) <= 3, n
-        snapshot_codec.decode(snapshot_codec.encode(fleet.kept(NOW), NAMES), NAMES)
+        snapshot_codec.decode(snapshot_codec.encode(fleet.snapshot(NOW), NAMES), NAMES)
     assert 500 < accepted < 9_000, "too few mutations pass the decoder, or too few are rejected"
 
 
@@ -188,9 +190,9 @@
 
 
 def test_a_snapshot_of_another_fleet_is_not_used() -> None:
-    snapshot, problems = SnapshotFile("k", SimulatedDisk({"k": encoded(2)})).load(NAMES, "g")
-    assert snapshot is None and problems == [
-        "the saved server list k is not used: the file is of fleet 'f', this limiter of 'g'"
+    saved, problems = SnapshotFile("k", SimulatedDisk({"k": encoded(2)})).load(NAMES, "g")
+    assert saved is None and problems == [
+        "the saved server list k is not used: the file belongs to fleet 'f', this limiter to 'g'"
     ]
 
 
@@ -218,7 +220,7 @@
     file = SnapshotFile(str(tmp_path / "k"))
     file.save(
         snapshot_codec.encode(
-            Snapshot("f", 7, 0, kept(10, entry(1), entry(2, Health.DRAINING)).servers, {}), NAMES
+            Snapshot("f", 7, 0, snapshot(10, entry(1), entry(2, Health.DRAINING)).servers, {}), NAMES
         )
     )
     assert main(["kept", str(tmp_path / "k")]) == 0
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,5 @@
-"""The daemon on a kept list: it serves without discovery, obeys it when it is back, and says what it does."""
+"""The daemon with a saved server list: it serves without discovery, follows discovery once it is back, and
+logs both."""
 
 from __future__ import annotations
 
@@ -20,58 +21,60 @@
 from hookport import config
 from hookport.config import Names
 from hookport.membership import messages, snapshot_codec
-from hookport.membership.fleet import Snapshot, SnapshotEntry, State
+from hookport.membership.fleet import ListSource, Snapshot, SnapshotEntry
 from hookport.options import Membership, Options
 
 SECOND = 1_000_000_000
 NAMES = Names({}, {}, {"a": 0}, {"m": 0})
 
 
-def keep(path: Path, world: World, age_s: float, drains: tuple[int, ...] = (), generation: int = 5) -> None:
-    """Write a kept list of the world's servers."""
-    told_ns = time.time_ns() - round(age_s * SECOND)
-    held = tuple(
+def save_snapshot(
+    path: Path, world: World, age_s: float, draining: tuple[int, ...] = (), generation: int = 5
+) -> None:
+    """Write a snapshot of the world's servers that was saved ``age_s`` ago."""
+    saved_ns = time.time_ns() - round(age_s * SECOND)
+    servers = tuple(
         SnapshotEntry(
-            ServerEntry(b"s-%d" % n, 0, 0, 0, Health.DRAINING if n in drains else Health.READY, 1.0, 0),
-            ("127.0.0.1", stub.port), generation, told_ns, told_ns,
+            ServerEntry(b"s-%d" % n, 0, 0, 0, Health.DRAINING if n in draining else Health.READY, 1.0, 0),
+            ("127.0.0.1", stub.port), generation, saved_ns, saved_ns,
         )
         for n, stub in enumerate(world.stubs)
     )  # fmt: skip
-    path.write_bytes(snapshot_codec.encode(Snapshot("f", generation, told_ns, held, {}), NAMES))
+    path.write_bytes(snapshot_codec.encode(Snapshot("f", generation, saved_ns, servers, {}), NAMES))
 
 
-def dark(world: World, path: Path, **more: float) -> World:
-    """Without a list in the configuration, and with one kept."""
+def use_snapshot(world: World, path: Path, **more: float) -> World:
+    """Configure a world with a snapshot file and without a list in the configuration."""
     world.known = False
     world.options = Options(membership=Membership(path=str(path), fleet="f", write_s=0.05, **more))
     return world
 
 
-def test_a_limiter_serves_from_its_kept_list_and_sends_nothing_to_who_drains(tmp_path: Path) -> None:
+def test_a_limiter_without_discovery_serves_from_its_snapshot_and_avoids_draining_servers(
+    tmp_path: Path,
+) -> None:
     async def scenario() -> None:
         async with World(serve, serve, serve) as world:
-            keep(tmp_path / "k", world, 3600, drains=(1,))
-            await dark(world, tmp_path / "k").start()
+            save_snapshot(tmp_path / "k", world, 3600, draining=(1,))
+            await use_snapshot(world, tmp_path / "k").start()
             node, client = world.node, await world.client()
-            assert node and node.members and node.members.fleet.state is State.KEPT
+            assert node and node.members and node.members.fleet.source is ListSource.SNAPSHOT
             reply = await client.ask(*submit(1))
-            assert str(reply).startswith("BUSY"), (
-                "no claim to a server of an old list that has proved nothing"
-            )
+            assert str(reply).startswith("BUSY"), "a claim went to an unproved server of an old list"
             for n in range(2, 12):
                 assert await client.ask(*query(n)) == b"value"
-            assert await client.ask(*submit(20)) == b"value", "they have proved themselves"
+            assert await client.ask(*submit(20)) == b"value", "the servers have proved themselves"
             assert not world.stubs[1].commands
             assert "source=kept" in node.members.status_line() and "draining=1" in node.members.status_line()
 
     asyncio.run(scenario())
 
 
-def test_discovery_that_is_back_takes_over_and_what_it_lacks_gets_nothing(tmp_path: Path) -> None:
+def test_discovery_that_returns_replaces_the_snapshot_and_missing_servers_get_nothing(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with World(serve, serve) as world:
-            keep(tmp_path / "k", world, 1)
-            await dark(world, tmp_path / "k").start()
+            save_snapshot(tmp_path / "k", world, 1)
+            await use_snapshot(world, tmp_path / "k").start()
             node, client = world.node, await world.client()
             assert node and node.members
             for n in (1, 2):
@@ -79,88 +82,99 @@
             assert [await client.answer(), await client.answer()] == [b"value"] * 2
             assert all(stub.commands for stub in world.stubs)
             await until(lambda: world.discovery.watches)
-            assert b"index=0" in world.discovery.requests[0], "the whole list: what was missed is not known"
+            assert b"index=0" in world.discovery.requests[0], (
+                "the watch must ask for the full list, since missed changes are unknown"
+            )
             world.discovery.push(list_update(9, instance("s-0", world.stubs[0].port), full=True))
             await until(lambda: node.members and node.members.fleet.live)
             before = len(world.stubs[1].commands)
             for n in range(11, 31):
                 assert await client.ask(*query(n)) == b"value"
             assert len(world.stubs[1].commands) == before
-            assert not world.stubs[0].closed, "what it names keeps its connections"
+            assert not world.stubs[0].closed, "connections to servers that discovery lists stay open"
             path = tmp_path / "k"
             await until(lambda: snapshot_codec.decode(path.read_bytes(), NAMES).generation == 9)
-            told = snapshot_codec.decode(path.read_bytes(), NAMES)
-            assert [h.entry.server for h in told.servers] == [b"s-0"] and set(told.gone) == {b"s-1"}
+            saved = snapshot_codec.decode(path.read_bytes(), NAMES)
+            assert [e.entry.server for e in saved.servers] == [b"s-0"] and set(saved.tombstones) == {b"s-1"}
             fleet = node.members.fleet
             world.discovery.watches[-1].transport.abort()
-            await until(lambda: fleet.state is State.LAST_WORD)
+            await until(lambda: fleet.source is ListSource.LOST_DISCOVERY)
             await until(lambda: len(world.discovery.watches) > 1)
             world.discovery.push(b"")
-            await until(lambda: fleet.state is State.TOLD)  # nothing has changed, which is a word too
+            # An empty line from discovery says that nothing has changed.
+            await until(lambda: fleet.source is ListSource.LIVE_DISCOVERY)
 
     asyncio.run(scenario())
 
 
-def test_a_move_to_another_discovery_in_the_dark_keeps_serving(tmp_path: Path) -> None:
+def test_a_change_of_discovery_while_none_answers_keeps_serving_and_brings_back_no_drained_server(
+    tmp_path: Path,
+) -> None:
     async def scenario() -> None:
         async with World(serve, serve) as world:
-            keep(tmp_path / "k", world, 1, drains=(1,))
-            await dark(world, tmp_path / "k").start()
-            node, new = world.node, await Discovery().start()
+            save_snapshot(tmp_path / "k", world, 1, draining=(1,))
+            await use_snapshot(world, tmp_path / "k").start()
+            node, new_discovery = world.node, await Discovery().start()
             assert node and node.members
-            told = {**world.configuration(), "discovery": f"127.0.0.1:{new.port}"}
-            node.reconfigure(replace(config.parse_config(told, {}), options=world.options))
-            await until(lambda: new.watches)
+            configuration = {**world.configuration(), "discovery": f"127.0.0.1:{new_discovery.port}"}
+            node.reconfigure(replace(config.parse_config(configuration, {}), options=world.options))
+            await until(lambda: new_discovery.watches)
             client = await world.client()
             assert await client.ask(*query(1)) == b"value"
-            new.push(
+            new_discovery.push(
                 list_update(900, *(instance(f"s-{n}", s.port) for n, s in enumerate(world.stubs)), full=True)
             )
             await until(lambda: node.members and node.members.fleet.live)
             for n in range(2, 12):
                 assert await client.ask(*query(n)) == b"value"
-            assert not world.stubs[1].commands, "another discovery's numbers bring back nothing that drained"
-            new.server.close()
-            new.watches[-1].transport.abort()
+            assert not world.stubs[1].commands, (
+                "a generation of another discovery brought back a drained server"
+            )
+            new_discovery.server.close()
+            new_discovery.watches[-1].transport.abort()
 
     asyncio.run(scenario())
 
 
-def test_a_black_hole_and_noise_on_the_list_cost_their_share_and_no_more(tmp_path: Path) -> None:
+def test_a_server_that_never_answers_and_one_of_another_protocol_do_not_block_requests(
+    tmp_path: Path,
+) -> None:
     async def scenario() -> None:
         async with World(serve, saying(b"220 mail ready\r\n"), never) as world:
-            keep(tmp_path / "k", world, 86_400)
-            await dark(world, tmp_path / "k").start()
+            save_snapshot(tmp_path / "k", world, 86_400)
+            await use_snapshot(world, tmp_path / "k").start()
             client = await world.client()
             for n in range(1, 21):
                 assert await client.ask(*query(n)) == b"value"
             assert world.node and world.node.members
-            assert len(world.stubs[1].commands) <= 2, "what answers noise is left alone"
-            assert world.node.members.fleet.beliefs[b"s-1"].trust < Trust.TOLD
+            assert len(world.stubs[1].commands) <= 2, (
+                "a server that answers in another protocol still gets attempts"
+            )
+            assert world.node.members.fleet.servers[b"s-1"].trust < Trust.TOLD
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("pong", [b"+PONG\r\n", b"-ERR not ready\r\n"])
-def test_probes_prove_servers_where_the_settings_allow_them(tmp_path: Path, pong: bytes) -> None:
+def test_probes_prove_servers_only_if_the_settings_permit_them(tmp_path: Path, pong: bytes) -> None:
     async def scenario() -> None:
         async with World(saying(pong)) as world:
-            keep(tmp_path / "k", world, 3600)
-            await dark(world, tmp_path / "k").start()
+            save_snapshot(tmp_path / "k", world, 3600)
+            await use_snapshot(world, tmp_path / "k").start()
             assert world.node and world.node.members
-            assert [b"PING"] not in world.stubs[0].commands, "not allowed"
+            assert [b"PING"] not in world.stubs[0].commands, "probed without permission"
             world.node.members.may_probe = True
-            belief = world.node.members.fleet.beliefs[b"s-0"]
+            record = world.node.members.fleet.servers[b"s-0"]
             if pong.startswith(b"+"):
-                await until(lambda: belief.trust is Trust.TOLD)
+                await until(lambda: record.trust is Trust.TOLD)
             else:
-                await until(lambda: belief.fails >= 2)
-                assert belief.trust < Trust.TOLD
+                await until(lambda: record.failures >= 2)
+                assert record.trust < Trust.TOLD
 
     asyncio.run(scenario())
 
 
-def test_a_disk_that_fails_is_told_once_and_harms_nobody(
+def test_saves_that_fail_are_logged_once_and_requests_are_served(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def scenario() -> None:
@@ -171,21 +185,24 @@
             assert node and node.members
             await until(lambda: world.discovery.watches)
             world.discovery.push(list_update(9, instance("s-0", world.stubs[0].port), full=True))
-            await until(lambda: node.members and node.members.failures >= 2)
+            await until(lambda: node.members and node.members.save_failures >= 2)
             assert await (await world.client()).ask(*query(1)) == b"value"
             (tmp_path / "none").mkdir()
             await until((tmp_path / "none" / "k").exists)
 
     with caplog.at_level(logging.INFO):
         asyncio.run(scenario())
-    told = [r.getMessage() for r in caplog.records if r.name == "hookport.membership"]
-    assert sum("no longer kept: [Errno 2]" in line for line in told) == 1 and "the list is kept again" in told
+    lines = [r.getMessage() for r in caplog.records if r.name == "hookport.membership"]
+    assert (
+        sum("the server list cannot be saved: [Errno 2]" in line for line in lines) == 1
+        and "the server list is saved again" in lines
+    )
 
 
-def test_limiters_do_not_ask_a_discovery_that_is_back_as_one(tmp_path: Path) -> None:
+def test_waits_between_connections_to_discovery_are_jittered(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with World(serve) as world:
-            await dark(world, tmp_path / "k").start()
+            await use_snapshot(world, tmp_path / "k").start()
             assert world.node
             waits = [world.node.discovery.spread(2.0) for _ in range(50)]
             assert all(1.0 <= wait <= 3.0 for wait in waits) and max(waits) - min(waits) > 1.0
@@ -193,16 +210,16 @@
     asyncio.run(scenario())
 
 
-def test_limiters_tell_one_another_who_drains(tmp_path: Path) -> None:
+def test_limiters_report_draining_servers_to_each_other(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with World(serve, serve) as world:
-            keep(tmp_path / "k", world, 1)
-            await dark(world, tmp_path / "k").start()
+            save_snapshot(tmp_path / "k", world, 1)
+            await use_snapshot(world, tmp_path / "k").start()
             node = world.node
             assert node and node.members
-            said: list[bytes] = []
-            node.members.door.send_to_peers = lambda peer, payload: said.append(payload)  # type: ignore[method-assign]
-            await until(lambda: messages.QUERY in said)
+            sent: list[bytes] = []
+            node.members.daemon.send_to_peers = lambda peer, payload: sent.append(payload)  # type: ignore[method-assign]
+            await until(lambda: messages.QUERY in sent)
             node.peer_message_received(1, messages.encode_report([b"s-0"]))
             client = await world.client()
             for n in range(1, 9):
@@ -212,19 +229,19 @@
             rows = [instance("s-0", world.stubs[0].port), instance("s-1", world.stubs[1].port)]
             world.discovery.push(list_update(9, *rows, full=True))
             world.discovery.push(list_update(10, instance("s-1", world.stubs[1].port, "DRAINING")))
-            await until(lambda: messages.encode_report([b"s-1"]) in said)
-            node.members.word_s = 0.0
-            said.clear()
+            await until(lambda: messages.encode_report([b"s-1"]) in sent)
+            node.members.last_report_s = 0.0
+            sent.clear()
             node.peer_message_received(1, messages.QUERY)
-            assert said == [messages.encode_report([b"s-1"])]
+            assert sent == [messages.encode_report([b"s-1"])]
             node.peer_message_received(1, messages.QUERY)
-            assert len(said) == 1, "one a second"
+            assert len(sent) == 1, "more than one report per second"
 
     asyncio.run(scenario())
 
 
-def test_a_list_that_cannot_be_used_is_told_and_the_limiter_starts(tmp_path: Path) -> None:
-    """As a process: the log has the reason, the age and the report on SIGUSR1."""
+def test_a_limiter_starts_from_the_previous_snapshot_if_the_current_one_is_invalid(tmp_path: Path) -> None:
+    """Run as a process, which writes the trust report to its log on SIGUSR1."""
 
     async def scenario() -> None:
         async with World(serve) as world:
@@ -232,7 +249,7 @@
             options.write_text(
                 json.dumps({"membership": {"path": str(tmp_path / "{name}.kept"), "fleet": "f"}})
             )
-            keep(tmp_path / "n0.kept.old", world, 100)
+            save_snapshot(tmp_path / "n0.kept.old", world, 100)
             (tmp_path / "n0.kept").write_bytes(b"hookport-kept 9 00000000 1\n{")
             world.known = False
             os.environ["HOOKPORT_OPTIONS"] = str(options)
@@ -253,15 +270,15 @@
     asyncio.run(scenario())
 
 
-def test_options_that_cannot_be_used_end_the_start_with_one_line(tmp_path: Path) -> None:
+def test_invalid_options_raise_an_error_that_names_the_key(tmp_path: Path) -> None:
     options = tmp_path / "options.json"
     options.write_text('{"membership": {"path": ""}}')
     with pytest.raises(config.ConfigError, match="membership.path: Expected `str` of length >= 1"):
         config.load_options({"HOOKPORT_OPTIONS": str(options)})
 
 
-def test_what_is_off_is_not_even_imported() -> None:
+def test_modules_of_disabled_options_are_not_imported() -> None:
     code = "import sys, hookport.__main__; print([m for m in sys.modules if m.split('.')[-1] in "
     code += "('membership', 'options', 'msgspec', 'emulator')])"
-    out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
-    assert out.strip() == "[]"
+    output = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
+    assert output.strip() == "[]"
