--- a/hookport/membership/fleet.py
+++ b/hookport/membership/fleet.py
@@ -36,13 +36,14 @@
 
 MIN_ON_TRIAL = 2  # servers on trial at one time, however old the list: one that hangs must not block the rest
 PROOF_VALID_NS = 600 * SECOND_NS  # how long an answer proves a server that no source confirms any more
+# Time without attempts at a server after a failure: the first, and the maximum that doubling reaches.
 BACKOFF_NS = (
     SECOND_NS,
     60 * SECOND_NS,
-)  # time without attempts after a failure: the first, and the maximum that doubling reaches
+)
 TOMBSTONE_TTL_NS = 3600 * SECOND_NS  # how long a deleted server is remembered
 MAX_TOMBSTONES = 4096
-STALE_LIST_HOLD_NS = 600 * SECOND_NS  # how long a list of an older generation brings back no drained server
+STALE_LIST_HOLD_NS = 600 * SECOND_NS  # how long an entry of an older generation cannot undo a drain
 MAX_SERVERS = 10_000  # of a list that does not come from discovery
 SMALL_FLEET = 256  # servers; in a larger fleet trust is evaluated by the tick, not after each answer
 FAILURES = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR)
@@ -242,8 +243,8 @@
         return Update(ServerList(ListKind.CACHED, entries), update.addresses, update.log_lines)
 
     def drop_shared_addresses(self) -> list[str]:
-        """Of the servers at one address keep the one that was confirmed last: the address may have passed
-        from one server to another since the older information."""
+        """Of the servers at one address keep the one from the source of the highest rank, and of those the
+        one confirmed last: the address may have passed to another server since the other information."""
         by_address: dict[Address, ServerRecord] = {}
         dropped = 0
         for record in sorted(self.servers.values(), key=lambda r: (r.source, r.confirmed_ns, r.answered_ns)):
@@ -252,7 +253,9 @@
                 dropped += 1
             by_address[record.address] = record
         return (
-            [f"{dropped} servers are not used: a more recent entry has the same address"] if dropped else []
+            [f"{dropped} servers are not used: a higher-ranked or newer entry has the same address"]
+            if dropped
+            else []
         )
 
     def may_return(self, entry: ServerEntry, generation: int, reported_ns: int) -> bool:
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -157,7 +157,7 @@
     old = replace(snapshot(3600, entry(2)).servers[0], address=recent.address)
     harness = Harness().start(Snapshot("f", 40, NOW, (recent, old), {}))
     assert harness.trust(2) is Trust.NONE and harness.trust(1) is Trust.CAREFUL
-    assert "a more recent entry has the same address" in harness.log_lines[0]
+    assert "a higher-ranked or newer entry has the same address" in harness.log_lines[0]
 
 
 def test_the_configuration_does_not_bring_back_servers_that_drain_by_the_snapshot() -> None:
