--- a/hookport/membership/messages.py
+++ b/hookport/membership/messages.py
@@ -5,7 +5,7 @@
 
 A digest is the first 8 bytes of BLAKE2b of the server's id (RFC 7693).  Ids may have any length, and two ids
 have the same digest with a chance of one in 2^64.  A wrong match can only reduce trust
-(``FleetView.warned``)."""
+(``FleetView.apply_peer_report``)."""
 
 from __future__ import annotations
 
