--- a/aniseshed/account.py
+++ b/aniseshed/account.py
@@ -21,21 +21,35 @@
 
 from aniseshed.counter_call import CallStatus, CounterCall
 from aniseshed.counter_health import CounterHealth
-from aniseshed.partition import NAME_BITS, SECOND_NS
+from aniseshed.partition import CUSTOMER_BITS, SECOND_NS
 from aniseshed.sequence_digits import SequenceDigits
 
-WINDOW_BURSTS = 2.5  # life of a count, in times to refill the burst: long against what its end loses
-LONGEST_LIFE_NS = 60 * SECOND_NS  # no counter keeps a name longer
-ROOM_FLOOR = -0.5  # of the burst: the most that tries beyond the quota leave as a debt
-REPORT_SHARE = 0.12  # of a slice of the room left: local spends as large are told unasked
-GHOST_NS = SECOND_NS  # in which a call taken for lost may yet be added: two marks would make a carry
-FALL_BASE, FALL_SHARE = 4.0, 0.1  # units, and of a burst: asked for and refused at each of a few others
-TEACH_NS = 2 * SECOND_NS  # within which all limiters tell a count that began again what it has lost
-ROUNDING = 0.01  # of a unit: totals come with seven digits
-CALLS_A_TIMEOUT = 20.0  # calls that the counter is first thought to serve in one of its time-outs, for all
-CALL_FASTER, CALL_SLOWER = 0.97, 1.3  # times the gap between calls, for an answer, for a miss
-CALL_RANGE = 8.0  # how far the gap may go from the first guess, and how far misses in a row slow it
-CALLS_SAVED = 4.0  # calls that a quiet while leaves for a busy one; telling local spends leaves half of them
+# Lifetime of a total, in times that the burst takes to refill.  Long, because each end of a window loses what
+# was not reported by then.
+WINDOW_BURSTS = 2.5
+MAX_WINDOW_NS = 60 * SECOND_NS  # no counter keeps a key longer
+# Lowest balance, in bursts: the largest debt that requests beyond the quota can leave.
+MIN_BALANCE_BURSTS = -0.5
+# Local charges are reported by a call of their own once they reach this share of the limiter's slice of the
+# remaining balance.
+REPORT_SHARE = 0.12
+# How long a call that is presumed lost may still be added.  In that time no other call advances the digit:
+# two advances at once would carry into the next digit.
+LATE_CALL_NS = SECOND_NS
+# The most that a total decreases as others take back units: asked for and refused at each of a few limiters.
+# In units, and in bursts.
+TOTAL_DECREASE_UNITS, TOTAL_DECREASE_BURSTS = 4.0, 0.1
+# Time within which all limiters report again what a reset total has lost.
+RESYNC_NS = 2 * SECOND_NS
+ROUNDING_UNITS = 0.01  # totals come with seven digits
+# Initial estimate of the calls, by all limiters together, that the counter serves within one time-out.
+CALLS_PER_TIMEOUT = 20.0
+# Factors of the interval between calls for an answer and for a miss.
+CALL_INTERVAL_DECREASE, CALL_INTERVAL_INCREASE = 0.97, 1.3
+# Largest factor by which the interval departs from its initial value, and by which misses in a row extend it.
+MAX_INTERVAL_FACTOR = 8.0
+# Calls that a quiet period saves up for a busy one.  Reports of local charges leave half of them.
+CALL_BURST = 4.0
 
 
 class SmoothBursty:
@@ -64,8 +78,8 @@
     what it sees.  Could refuse where a slow counter would still have answered."""
 
     def __init__(self, limiters: int, timeout_ns: int) -> None:
-        self.interval_ns = self.initial_interval_ns = max(1, limiters * timeout_ns / CALLS_A_TIMEOUT)
-        self.tokens = SmoothBursty(0, SECOND_NS / self.interval_ns, CALLS_SAVED, CALLS_SAVED)
+        self.interval_ns = self.initial_interval_ns = max(1, limiters * timeout_ns / CALLS_PER_TIMEOUT)
+        self.tokens = SmoothBursty(0, SECOND_NS / self.interval_ns, CALL_BURST, CALL_BURST)
         self.consecutive_misses = 0  # in a row
 
     def is_free(self, now_ns: int, saved: float) -> bool:
@@ -78,14 +92,22 @@
 
     def on_result(self, heard: bool) -> None:
         """An answer speeds up a little, the first miss of a row slows down, and each further one more."""
-        change = CALL_FASTER if heard else CALL_SLOWER if not self.consecutive_misses else 1.0
+        change = (
+            CALL_INTERVAL_DECREASE
+            if heard
+            else CALL_INTERVAL_INCREASE
+            if not self.consecutive_misses
+            else 1.0
+        )
         self.interval_ns = min(
-            max(self.interval_ns * change, self.initial_interval_ns / CALL_RANGE),
-            self.initial_interval_ns * CALL_RANGE,
+            max(self.interval_ns * change, self.initial_interval_ns / MAX_INTERVAL_FACTOR),
+            self.initial_interval_ns * MAX_INTERVAL_FACTOR,
         )
         # Guards against an overflow in a long outage.
-        self.consecutive_misses = 0 if heard else min(self.consecutive_misses + 1, int(CALL_RANGE))
-        self.tokens.stable_interval_ns = self.interval_ns * min(2.0**self.consecutive_misses, CALL_RANGE)
+        self.consecutive_misses = 0 if heard else min(self.consecutive_misses + 1, int(MAX_INTERVAL_FACTOR))
+        self.tokens.stable_interval_ns = self.interval_ns * min(
+            2.0**self.consecutive_misses, MAX_INTERVAL_FACTOR
+        )
 
     def on_recovered(self, now_ns: int) -> None:
         """The counter answers again: guards against waiting out a gap that only its silence had made."""
@@ -164,7 +186,7 @@
         part = (ceiling[0] / set_size, ceiling[1] / set_size, 0.0)
         if ceiling[0] <= 0:
             part = (1.0, math.inf, math.inf)
-        window_ns = min(round(WINDOW_BURSTS * burst / rate * SECOND_NS), LONGEST_LIFE_NS)
+        window_ns = min(round(WINDOW_BURSTS * burst / rate * SECOND_NS), MAX_WINDOW_NS)
         return cls(
             name=name,
             counter_health=weather,
@@ -184,7 +206,7 @@
 
     def counter_key(self, now_ns: int) -> int:
         """The name of the present window's count; all limiters come to the same by their clocks."""
-        return (self.name + (now_ns // self.window_ns << NAME_BITS)) % (1 << 64)
+        return (self.name + (now_ns // self.window_ns << CUSTOMER_BITS)) % (1 << 64)
 
     def refill(self, now_ns: int) -> float:
         passed_ns = now_ns - self.balance_ns
@@ -202,7 +224,7 @@
 
     def spend(self, now_ns: int, units: float) -> None:
         """Take units from the room, or put them back if below 0; a debt has a floor."""
-        self.balance = min(self.burst, max(self.refill(now_ns) - units, ROOM_FLOOR * self.burst))
+        self.balance = min(self.burst, max(self.refill(now_ns) - units, MIN_BALANCE_BURSTS * self.burst))
 
     def charge(self, now_ns: int, units: float) -> None:
         """Units that this limiter spends by itself; the counter is told later."""
@@ -219,7 +241,7 @@
     @property
     def max_total_decrease(self) -> float:
         """Units that others may take back between two totals; one that falls further is an older one."""
-        return FALL_BASE + FALL_SHARE * self.burst
+        return TOTAL_DECREASE_UNITS + TOTAL_DECREASE_BURSTS * self.burst
 
     def has_reported_in_window(self, now_ns: int) -> bool:
         """Whether this limiter has told the present count something."""
@@ -232,7 +254,7 @@
     @property
     def min_report_units(self) -> float:
         """The least amount that is worth a call, in units: less is what rounding leaves."""
-        return self.digits.quantum if self.digits else ROUNDING
+        return self.digits.quantum if self.digits else ROUNDING_UNITS
 
     def is_report_due(self) -> bool:
         """Unreported spends are an error in everyone's view: it is kept to a part of the room left."""
@@ -250,7 +272,7 @@
         self.in_flight += local
         self.open_calls += 1
         question = CounterCall(self, request_id, self.counter_key(now_ns), units, local, call, now_ns)
-        if self.late_digit_call and now_ns - self.late_digit_call.started_ns > GHOST_NS:
+        if self.late_digit_call and now_ns - self.late_digit_call.started_ns > LATE_CALL_NS:
             self.late_digit_call = None
         if self.digits and self.digit_call is self.late_digit_call is None and self.digit is not None:
             turn = self.digits.next_digit(self.digit, self.known_before) - self.digit
@@ -399,14 +421,14 @@
         elapsed_s = now_ns % self.window_ns / SECOND_NS
         room = self.refill(now_ns)
         # A new window or lost counts, one case for both.
-        lost = self.total_lost or total < self.own_units + added - ROUNDING
+        lost = self.total_lost or total < self.own_units + added - ROUNDING_UNITS
         if self.total is not None and self.total_window == window:
             lost = lost or total - self.total - added < -self.max_total_decrease
         self.total_lost = False
         if self.counter_health and self.counter_health.replaced_ns > self.replaced_ns:
             self.replaced_ns = self.counter_health.replaced_ns
             lost = lost or self.answered_ns < self.replaced_ns
-        if now_ns - self.reset_ns > TEACH_NS and self.reset_ns > self.answered_ns - TEACH_NS:
+        if now_ns - self.reset_ns > RESYNC_NS and self.reset_ns > self.answered_ns - RESYNC_NS:
             self.expected_debt = 0.0  # whoever had something to tell again has told it: the rest is news
         if lost and self.total is not None and self.total_window == window:
             self.recover_lost_total(now_ns, total - added, self.total)
@@ -414,7 +436,7 @@
             # What is missing from the store by this limiter's own account, but for what it tells just now.
             debt = max(0.0, self.burst - room - max(0.0, question.local_units))
             known, self.expected_debt = self.total is not None, 0.0
-            if known and (not self.others_knew or total <= added + self.early_units + ROUNDING):
+            if known and (not self.others_knew or total <= added + self.early_units + ROUNDING_UNITS):
                 # The first to call that knows it hands it on, or each window would grant a burst anew.
                 self.unreported += debt
                 self.carried_over += debt
@@ -432,7 +454,7 @@
         if (
             self.withheld_refill
             and self.counter_health
-            and now_ns - self.counter_health.recovered_ns > TEACH_NS
+            and now_ns - self.counter_health.recovered_ns > RESYNC_NS
         ):
             self.balance, self.withheld_refill = min(self.burst, self.balance + self.withheld_refill), 0.0
         others = total - (self.total or 0.0) - added
--- a/aniseshed/bound.py
+++ b/aniseshed/bound.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from aniseshed.account import REPORT_SHARE
-from aniseshed.counter_health import SILENT_WAITS, CounterHealth, CounterState
+from aniseshed.counter_health import SILENT_TIMEOUTS, CounterHealth, CounterState
 from aniseshed.interface import Settings
-from aniseshed.partition import ABSENT_BEATS, BEAT_NS, SECOND_NS
+from aniseshed.partition import ABSENT_HEARTBEATS, HEARTBEAT_INTERVAL_NS, SECOND_NS
 
 
 def bounds(settings: Settings, limiters: int, weather: CounterHealth) -> tuple[float, ...]:
@@ -37,10 +37,10 @@
     if state in (CounterState.SILENT, CounterState.SLOW):
         # Each slice may take one request ahead, until silence is told the store refills for all, and when the
         # counter is back a burst may be believed in which a limiter that has not spoken yet has spent.
-        return unseen + size * largest + rate * (SILENT_WAITS + 1) * timeout_ns / SECOND_NS + burst
+        return unseen + size * largest + rate * (SILENT_TIMEOUTS + 1) * timeout_ns / SECOND_NS + burst
     if state is CounterState.SPLIT:
         # Two sides spend one store until the roll shows it; after that each keeps to its part.
-        return unseen + burst + rate * (ABSENT_BEATS + 1) * BEAT_NS / SECOND_NS
+        return unseen + burst + rate * (ABSENT_HEARTBEATS + 1) * HEARTBEAT_INTERVAL_NS / SECOND_NS
     if state is CounterState.REPLACED:
         return 2 * unseen + size * largest  # what the lost count knew and one limiter did not
     return unseen
--- a/aniseshed/counter_health.py
+++ b/aniseshed/counter_health.py
@@ -12,11 +12,11 @@
 
 # Time-outs without any answer after which the counter counts as silent.  A connection that fell silent is
 # given up after one.
-SILENT_WAITS = 6.0
-GAIN = 0.1  # weight of one call's result in the moving average of misses
-SLOW_SHARE = 0.5  # miss rate above which the counter counts as slow
+SILENT_TIMEOUTS = 6.0
+MISS_EWMA_WEIGHT = 0.1  # weight of one call's result in the moving average of misses
+SLOW_MISS_RATE = 0.5  # miss rate above which the counter counts as slow
 # How long a replacement or a recovery is reported: about the lifetime of a customer's total.
-SETTLE_NS = 10 * SECOND_NS
+RECENT_CHANGE_NS = 10 * SECOND_NS
 
 
 class CounterState(Enum):
@@ -47,7 +47,7 @@
 
     def on_result(self, now_ns: int, answered: bool) -> None:
         """A call ended, with a total in time or without."""
-        self.miss_rate += GAIN * ((not answered) - self.miss_rate)
+        self.miss_rate += MISS_EWMA_WEIGHT * ((not answered) - self.miss_rate)
         if answered:
             if self.is_silent(now_ns):
                 self.past_silence_ns, self.recovered_ns = self.total_silence_ns(now_ns), now_ns
@@ -56,7 +56,7 @@
             self.first_miss_ns = now_ns
 
     def is_silent(self, now_ns: int) -> bool:
-        return self.first_miss_ns >= 0 and now_ns - self.first_miss_ns >= SILENT_WAITS * self.timeout_ns
+        return self.first_miss_ns >= 0 and now_ns - self.first_miss_ns >= SILENT_TIMEOUTS * self.timeout_ns
 
     def total_silence_ns(self, now_ns: int) -> int:
         """How long the counter has been silent in all; each silence starts with its first missing answer."""
@@ -68,12 +68,16 @@
             state = CounterState.SILENT
         elif split:
             state = CounterState.SPLIT
-        elif now_ns - self.replaced_ns < SETTLE_NS:
+        elif now_ns - self.replaced_ns < RECENT_CHANGE_NS:
             state = CounterState.REPLACED
-        elif self.miss_rate > SLOW_SHARE:
+        elif self.miss_rate > SLOW_MISS_RATE:
             state = CounterState.SLOW
         else:
-            state = CounterState.RECOVERED if now_ns - self.impaired_ns < SETTLE_NS else CounterState.HEALTHY
+            state = (
+                CounterState.RECOVERED
+                if now_ns - self.impaired_ns < RECENT_CHANGE_NS
+                else CounterState.HEALTHY
+            )
         if state in (CounterState.SILENT, CounterState.SPLIT):
             self.impaired_ns = now_ns
         changed, self.state = state is not self.state, state
--- a/aniseshed/exhausted_quotas.py
+++ b/aniseshed/exhausted_quotas.py
@@ -12,17 +12,17 @@
 from dataclasses import dataclass, field
 
 from aniseshed.account import SmoothBursty
-from aniseshed.partition import NAME_BITS, SECOND_NS
+from aniseshed.partition import CUSTOMER_BITS, SECOND_NS
 
-SPENT_NS = 6 * SECOND_NS  # how long a message holds: a burst of requests ends within five seconds
+MESSAGE_LIFETIME_NS = 6 * SECOND_NS  # how long a message holds: a burst of requests ends within five seconds
 # Messages per second by all limiters together: half of what one of them may take in.
-TOLD_A_SECOND = 20.0
+MESSAGES_PER_SECOND = 20.0
 # Messages that a quiet period saves up.  Those of the plan that loses least wait until all are available.
-WORDS_SAVED = 4.0
+MESSAGE_BURST = 4.0
 # Customers remembered.  Within the lifetime of a message no more can be announced.
-MOST_KNOWN = 4096
-SIZE = -(-NAME_BITS // 8)  # bytes of a customer's number in a message
-KIND = b"S"
+MAX_REMEMBERED_CUSTOMERS = 4096
+CUSTOMER_SIZE_BYTES = -(-CUSTOMER_BITS // 8)  # bytes of a customer's number in a message
+MESSAGE_TYPE = b"S"
 
 
 @dataclass(slots=True)
@@ -38,9 +38,9 @@
 
     def record(self, now_ns: int, customer: int) -> None:
         self.expires_ns.pop(customer, None)
-        self.expires_ns[customer] = now_ns + SPENT_NS
+        self.expires_ns[customer] = now_ns + MESSAGE_LIFETIME_NS
         oldest = next(iter(self.expires_ns))
-        if len(self.expires_ns) > MOST_KNOWN or self.expires_ns[oldest] <= now_ns:
+        if len(self.expires_ns) > MAX_REMEMBERED_CUSTOMERS or self.expires_ns[oldest] <= now_ns:
             del self.expires_ns[oldest]
 
     def on_refused(self, now_ns: int, customer: int, rank: float) -> bytes | None:
@@ -51,14 +51,14 @@
         0 to 1.
         """
         self.message_tokens.resync(now_ns)
-        known = self.remaining_ns(now_ns, customer) > SPENT_NS / 2
-        if known or self.message_tokens.stored_permits < 1 + (WORDS_SAVED - 1) * (1 - rank):
+        known = self.remaining_ns(now_ns, customer) > MESSAGE_LIFETIME_NS / 2
+        if known or self.message_tokens.stored_permits < 1 + (MESSAGE_BURST - 1) * (1 - rank):
             return None
         self.message_tokens.reserve(1.0)
         self.record(now_ns, customer)
-        return KIND + customer.to_bytes(SIZE, "big")
+        return MESSAGE_TYPE + customer.to_bytes(CUSTOMER_SIZE_BYTES, "big")
 
     def on_message(self, now_ns: int, payload: bytes) -> None:
         """Record another limiter's message; any other payload is ignored."""
-        if len(payload) == 1 + SIZE and payload.startswith(KIND):
+        if len(payload) == 1 + CUSTOMER_SIZE_BYTES and payload.startswith(MESSAGE_TYPE):
             self.record(now_ns, int.from_bytes(payload[1:], "big"))
--- a/aniseshed/partition.py
+++ b/aniseshed/partition.py
@@ -19,29 +19,29 @@
 
 SECOND_NS = 1_000_000_000
 # One call per second and limiter is about one in a hundred of its counter calls.
-BEAT_NS = SECOND_NS
+HEARTBEAT_INTERVAL_NS = SECOND_NS
 # Lifetime of a heartbeat key.  Counters keep a key for at most 60 s.
 EPOCH_NS = 30 * SECOND_NS
 # Reads without an advance after which a limiter counts as absent.  One may be missing by chance: a lost call,
 # or a call out of step with this limiter's own.
-ABSENT_BEATS = 3.0
+ABSENT_HEARTBEATS = 3.0
 # Reads for which a limiter that was absent must have answered again before it counts; see update_split.
-RETURN_BEATS = 2 * ABSENT_BEATS
+RETURN_HEARTBEATS = 2 * ABSENT_HEARTBEATS
 # The same once no limiter of the group is absent: then no other side is left that could count on it.
-HEALED_BEATS = 2.0
+HEALED_HEARTBEATS = 2.0
 # Losses within this time count as one: a limiter that corrects a lost digit may borrow from another's.
-ONE_LOSS_NS = 2 * BEAT_NS
+SAME_LOSS_NS = 2 * HEARTBEAT_INTERVAL_NS
 # Two losses within this time mean that this limiter alternates between both sides of a split.  The other
 # limiters notice slower changes by themselves.
-LOST_AGAIN_NS = 7 * SECOND_NS
+REPEATED_LOSS_NS = 7 * SECOND_NS
 # How long a limiter that alternates between sides leaves its digit alone and only reads.
-QUIET_NS = 15 * SECOND_NS
-GROUP = 8
-BASE = 4
+READ_ONLY_NS = 15 * SECOND_NS
+GROUP_SIZE = 8
+DIGIT_BASE = 4
 # Low bits of a counter key that hold the customer (heartbeats use the highest numbers); the others hold the
 # time window.
-NAME_BITS = 33
-TOP_CUSTOMER = (1 << NAME_BITS) - 1
+CUSTOMER_BITS = 33
+MAX_CUSTOMER = (1 << CUSTOMER_BITS) - 1
 
 
 @dataclass(slots=True, frozen=True)
@@ -74,27 +74,27 @@
     message_ns: dict[int, int] = field(default_factory=dict)  # limiter -> time of its last datagram
     resumed_ns: dict[int, int] = field(default_factory=dict)  # limiter -> its first datagram after a pause
     split: frozenset[int] = frozenset()  # limiters on another side
-    lost_ns: int = -QUIET_NS  # when this limiter's own digit was last found lost
+    lost_ns: int = -READ_ONLY_NS  # when this limiter's own digit was last found lost
     read_only_until_ns: int = 0
 
     def __post_init__(self) -> None:
-        self.enabled = self.enabled or self.limiters <= GROUP
+        self.enabled = self.enabled or self.limiters <= GROUP_SIZE
 
     @property
     def first_index(self) -> int:
         """The lowest index of this limiter's group."""
-        return self.index - self.index % GROUP
+        return self.index - self.index % GROUP_SIZE
 
     @property
     def group(self) -> range:
-        return range(self.first_index, min(self.limiters, self.first_index + GROUP))
+        return range(self.first_index, min(self.limiters, self.first_index + GROUP_SIZE))
 
     def recipients(self) -> list[int | None]:
         """Limiters to send a datagram to; None stands for all, used where there is only one group."""
-        return [o for o in self.group if o != self.index] if self.limiters > GROUP else [None]
+        return [o for o in self.group if o != self.index] if self.limiters > GROUP_SIZE else [None]
 
     def counter_key(self, epoch: int) -> int:
-        return (TOP_CUSTOMER - self.index // GROUP + (epoch << NAME_BITS)) % (1 << 64)
+        return (MAX_CUSTOMER - self.index // GROUP_SIZE + (epoch << CUSTOMER_BITS)) % (1 << 64)
 
     def next_heartbeat(self, now_ns: int) -> Heartbeat:
         """The heartbeat that is due now."""
@@ -106,19 +106,20 @@
             self.epoch, self.total, self.pending = epoch, 0, None
         if self.digit is None or self.pending or now_ns < self.read_only_until_ns:
             return Heartbeat(self.counter_key(epoch), 0.0)
-        step = 1 if self.digit < BASE - 1 else 2 - BASE  # after 3 comes 1: only a new total has a 0
+        # After 3 comes 1: only a new total has a 0.
+        step = 1 if self.digit < DIGIT_BASE - 1 else 2 - DIGIT_BASE
         self.pending = Heartbeat(
-            self.counter_key(epoch), float(step * BASE ** (self.index - self.first_index))
+            self.counter_key(epoch), float(step * DIGIT_BASE ** (self.index - self.first_index))
         )
         return self.pending
 
     def on_answer(self, now_ns: int, heartbeat: Heartbeat, total: float) -> bool:
         """Read the total that answers a heartbeat; whether it shows that this limiter's digit was lost."""
-        if heartbeat.key != self.counter_key(self.epoch) or not abs(total) < BASE**GROUP:
+        if heartbeat.key != self.counter_key(self.epoch) or not abs(total) < DIGIT_BASE**GROUP_SIZE:
             return False
         read = round(total)
         known, own_digit = self.digit, self.digit_of(read, self.index)
-        advanced = None if known is None else known % (BASE - 1) + 1
+        advanced = None if known is None else known % (DIGIT_BASE - 1) + 1
         # An answered advance must be in the total; an unanswered one may be in it or not.
         allowed = (
             (advanced,) if self.pending is heartbeat else (known, advanced) if self.pending else (known,)
@@ -126,10 +127,10 @@
         # A total that falls below 0 has lost digits: steps from 3 back to 1 in a new total.  It may stay
         # below 0, which is no further loss.
         lost = read < 0 <= self.total or (known is not None and own_digit not in allowed)
-        if lost and (lost_ago_ns := now_ns - self.lost_ns) > ONE_LOSS_NS:
-            if lost_ago_ns <= LOST_AGAIN_NS:
+        if lost and (lost_ago_ns := now_ns - self.lost_ns) > SAME_LOSS_NS:
+            if lost_ago_ns <= REPEATED_LOSS_NS:
                 # Otherwise both sides of a split would count on this limiter.
-                self.read_only_until_ns = now_ns + QUIET_NS
+                self.read_only_until_ns = now_ns + READ_ONLY_NS
             self.lost_ns = now_ns
         self.reads += not lost
         for other in self.group:
@@ -140,7 +141,7 @@
         return lost
 
     def digit_of(self, total: int, limiter: int) -> int:
-        return total // int(BASE ** (limiter - self.first_index)) % BASE
+        return total // int(DIGIT_BASE ** (limiter - self.first_index)) % DIGIT_BASE
 
     def on_rejected(self, heartbeat: Heartbeat) -> None:
         """The counter rejected the call or never received it, so the digit has not been advanced."""
@@ -150,7 +151,7 @@
     def on_message(self, now_ns: int, sender: int) -> None:
         """A datagram shows that another limiter is running."""
         if 0 <= sender < self.limiters:
-            if now_ns - self.message_ns.get(sender, -math.inf) > ABSENT_BEATS * BEAT_NS:
+            if now_ns - self.message_ns.get(sender, -math.inf) > ABSENT_HEARTBEATS * HEARTBEAT_INTERVAL_NS:
                 self.resumed_ns[sender] = now_ns
             self.message_ns[sender] = now_ns
 
@@ -163,10 +164,12 @@
         either has stopped, unless it was away before or two are gone at once: a split may cut off the
         datagrams too.
         """
-        wait_ns, away = ABSENT_BEATS * BEAT_NS, list[int]()
+        wait_ns, away = ABSENT_HEARTBEATS * HEARTBEAT_INTERVAL_NS, list[int]()
         # Counted in reads, not in time: while the counter was silent to this limiter it saw no digit move.
         gone = [
-            o for o in self.group if o != self.index and self.reads - self.last_moved.get(o, 0) > ABSENT_BEATS
+            o
+            for o in self.group
+            if o != self.index and self.reads - self.last_moved.get(o, 0) > ABSENT_HEARTBEATS
         ]
         vanished = sum(o in self.last_moved for o in gone)  # without those never seen, as after a start
         for other in self.group:
@@ -176,7 +179,7 @@
             if other != self.index and (cut_off or now_ns < self.read_only_until_ns):
                 self.last_missed[other] = self.reads
             if self.reads - self.last_missed.get(other, -math.inf) <= (
-                RETURN_BEATS if gone else HEALED_BEATS
+                RETURN_HEARTBEATS if gone else HEALED_HEARTBEATS
             ):
                 away.append(other)
         self.split = frozenset(away)
@@ -186,7 +189,7 @@
 
         It is 1 where the set is larger than a group.
         """
-        if not self.split or size <= 1 or (size > GROUP and self.limiters > GROUP):
+        if not self.split or size <= 1 or (size > GROUP_SIZE and self.limiters > GROUP_SIZE):
             return 1.0
         away = sum((start + n) % self.limiters in self.split for n in range(size))
         return (size - min(away, size - 1)) / size
--- a/aniseshed/policy.py
+++ b/aniseshed/policy.py
@@ -12,13 +12,20 @@
 from collections.abc import Callable
 
 from aniseshed import interface as api
-from aniseshed.account import CALLS_SAVED, Account, CallPacer, SmoothBursty
+from aniseshed.account import CALL_BURST, Account, CallPacer, SmoothBursty
 from aniseshed.bound import bounds
 from aniseshed.counter_call import CallStatus, CounterCall
 from aniseshed.counter_health import CounterHealth
-from aniseshed.exhausted_quotas import TOLD_A_SECOND, WORDS_SAVED, ExhaustedQuotas
+from aniseshed.exhausted_quotas import MESSAGE_BURST, MESSAGES_PER_SECOND, ExhaustedQuotas
 from aniseshed.interface import DedupScope, Health, Idempotency, ListKind, Outcome, RequestMode, Trust
-from aniseshed.partition import BEAT_NS, EPOCH_NS, GROUP, SECOND_NS, Heartbeat, PartitionDetector
+from aniseshed.partition import (
+    EPOCH_NS,
+    GROUP_SIZE,
+    HEARTBEAT_INTERVAL_NS,
+    SECOND_NS,
+    Heartbeat,
+    PartitionDetector,
+)
 from aniseshed.sequence_digits import assign_digit
 from aniseshed.state import Attempt, PendingRequest, Server, TimeAverage, apply_server_list
 
@@ -68,7 +75,7 @@
         self.last_call_id, self.start_ns = 0, -1
         self.weather = CounterHealth(settings.counter_timeout_ns)
         self.roll = PartitionDetector(settings.index, self.limiters, 0, settings.may_message_peers)
-        self.spent = ExhaustedQuotas(SmoothBursty(0, TOLD_A_SECOND / self.limiters, WORDS_SAVED, 1.0))
+        self.spent = ExhaustedQuotas(SmoothBursty(0, MESSAGES_PER_SECOND / self.limiters, MESSAGE_BURST, 1.0))
         self.pace = CallPacer(self.limiters, settings.counter_timeout_ns)
         self.unit_latency_ns = [0.0] * len(settings.classes)  # of one unit's answer
         self.max_timeout_ns = [0] * len(settings.classes)
@@ -88,7 +95,7 @@
         if self.start_ns < 0:
             self.start_ns = self.roll.start_ns = self.weather.since_ns = now_ns
             if self.settings.has_counter and self.limiters > 1:
-                self.set_timer(self.random.random() * BEAT_NS, self.on_heartbeat, True)
+                self.set_timer(self.random.random() * HEARTBEAT_INTERVAL_NS, self.on_heartbeat, True)
         if handler := self.handlers.get(type(event)):
             handler(event)
         return self.actions
@@ -165,7 +172,7 @@
         # Guards against slices and grants together passing the quota: of a spent one, a slice is nothing.
         short = customer.total is not None and customer.refill(self.now_ns) < work.units
         timely = work.request.timeout_ns > MIN_COUNTER_TIMEOUTS_LEFT * self.settings.counter_timeout_ns
-        call = timely and not short and self.may_call_counter(1 + (CALLS_SAVED - 1) * (1 - work.value_rank))
+        call = timely and not short and self.may_call_counter(1 + (CALL_BURST - 1) * (1 - work.value_rank))
         # Guards against all limiters of a large set taking ahead at once what none of their slices can hold.
         sliver = customer.bucket.max_permits < work.units
         told = sliver and not silent and self.spent.remaining_ns(self.now_ns, customer.name)
@@ -184,7 +191,7 @@
         if customer is None:
             now_ns, size = self.now_ns, min(max(1.0, request.set_size), self.limiters)
             quota, ceiling = (plan.rate, plan.burst), (plan.ceiling_rate, plan.ceiling_burst)
-            self.roll.enabled = self.roll.enabled or size <= GROUP
+            self.roll.enabled = self.roll.enabled or size <= GROUP_SIZE
             digit = assign_digit(self.settings.index, self.limiters, round(size))
             customer = Account.create(
                 now_ns, request.customer, size, quota, ceiling, digit, now_ns - self.start_ns, self.weather
@@ -220,7 +227,7 @@
         customer, work.charged_units, work.charged_to_slice = work.account, work.units, True
         customer.bucket.reserve(work.units)
         customer.charge(self.now_ns, work.units)
-        if customer.is_report_due() and self.may_call_counter(CALLS_SAVED / 2):
+        if customer.is_report_due() and self.may_call_counter(CALL_BURST / 2):
             self.call_counter(customer, -1, 0.0)
 
     def refund(self, work: PendingRequest) -> None:
@@ -231,7 +238,7 @@
 
     def on_heartbeat(self) -> None:
         """Answer the roll, tell the peers that this limiter lives, and look at the state of the counter."""
-        self.set_timer(BEAT_NS, self.on_heartbeat, True)
+        self.set_timer(HEARTBEAT_INTERVAL_NS, self.on_heartbeat, True)
         # A silent counter is asked whether it is back.
         if self.roll.enabled or self.weather.is_silent(self.now_ns):
             beat = self.roll.next_heartbeat(self.now_ns)
@@ -297,7 +304,11 @@
         """Tell the others of a large set that the counter refused what their slices cannot hold either."""
         rank = work.plan.rate * work.plan.price / max(p.rate * p.price for p in self.settings.plans)
         customer = work.account
-        if customer.set_size <= GROUP or customer.bucket.max_permits >= work.units or customer.balance >= 1:
+        if (
+            customer.set_size <= GROUP_SIZE
+            or customer.bucket.max_permits >= work.units
+            or customer.balance >= 1
+        ):
             return
         if word := self.spent.on_refused(self.now_ns, customer.name, rank):
             self.actions.append(api.Tell(None, word))
--- a/aniseshed/sequence_digits.py
+++ b/aniseshed/sequence_digits.py
@@ -16,18 +16,18 @@
 import math
 from dataclasses import dataclass
 
-LEAST_STEP = 2.0**-9  # in units; a counter that keeps three decimals still represents it
+MIN_STEP = 2.0**-9  # in units; a counter that keeps three decimals still represents it
 # Distance from the grid, in steps, from which on no digit is read: rounding leaves less, so the counter's
 # precision does not reach.
-OFF_GRID = 0.3
+MAX_OFFSET_STEPS = 0.3
 # Bits of the grid in one span.  Two spans take 19 bits, five fewer than a float32 has.
 GRID_BITS = 18
 # Span in bursts.  A window counts at most what it starts with and what refills, 3.5 bursts inside the quota.
 SPAN_BURSTS = 4.0
 # Digits in a total.  With more, the quantum would be as large as the amounts that are counted.
-MOST_LIMITERS = 8
+MAX_DIGITS = 8
 # Quanta in a burst below which digits of base 4 give way to digits of base 2.
-FINEST = 32.0
+MIN_QUANTA_PER_BURST = 32.0
 
 
 def assign_digit(index: int, limiters: int, size: int) -> tuple[int, int]:
@@ -64,11 +64,11 @@
 
         ``position`` is that of this limiter's digit, from 0; a limiter with a position outside has no digit.
         """
-        if not 1 <= size <= MOST_LIMITERS or not 0 < burst < math.inf:
+        if not 1 <= size <= MAX_DIGITS or not 0 < burst < math.inf:
             return None
         span = 2.0 ** math.ceil(math.log2(SPAN_BURSTS * burst))
-        step = max(LEAST_STEP, span * 2.0**-GRID_BITS)
-        base = 4 if step * 4.0**size <= burst / FINEST else 2
+        step = max(MIN_STEP, span * 2.0**-GRID_BITS)
+        base = 4 if step * 4.0**size <= burst / MIN_QUANTA_PER_BURST else 2
         weight = step * float(base) ** position if 0 <= position < size else 0.0
         return cls(step, weight, step * float(base) ** size, span, base)
 
@@ -89,7 +89,7 @@
         Base 2 cannot tell; then it is assumed.
         """
         steps = round((total - digit * self.weight) / self.step) % round(self.quantum / self.step)
-        return self.base == 2 or any(steps >> 2 * position & 3 in (1, 2) for position in range(MOST_LIMITERS))
+        return self.base == 2 or any(steps >> 2 * position & 3 in (1, 2) for position in range(MAX_DIGITS))
 
     def round_up(self, units: float) -> float:
         """The smallest multiple of the quantum that holds these units."""
@@ -101,7 +101,7 @@
         The digit is None, and the total as it was, if the total is too large or off the grid.
         """
         steps = round(total / self.step)
-        if abs(total) > 2 * self.span or abs(total / self.step - steps) > OFF_GRID:
+        if abs(total) > 2 * self.span or abs(total / self.step - steps) > MAX_OFFSET_STEPS:
             return total, None
         digits = steps % round(self.quantum / self.step)
         digit = int(digits * self.step // self.weight) % self.base if self.weight else None
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from aniseshed import interface as api
-from aniseshed.partition import TOP_CUSTOMER
+from aniseshed.partition import MAX_CUSTOMER
 from aniseshed.policy import Limiter
 
 SECOND = 1_000_000_000
@@ -111,7 +111,7 @@
             elif isinstance(action, api.Refuse | api.Fail | api.QuotaAnswer):
                 assert action.request_id not in self.final_answers, "two final answers to one request"
                 self.final_answers[action.request_id] = action
-            elif isinstance(action, api.Count) and action.key & TOP_CUSTOMER > TOP_CUSTOMER - MAX_GROUPS:
+            elif isinstance(action, api.Count) and action.key & MAX_CUSTOMER > MAX_CUSTOMER - MAX_GROUPS:
                 self.heartbeats.append(action)
             elif isinstance(action, api.Count):
                 self.counter_calls.append(action)
--- a/tests/test_counter_lost.py
+++ b/tests/test_counter_lost.py
@@ -12,14 +12,14 @@
 
 from aniseshed import interface as api
 from aniseshed.account import Account
-from aniseshed.counter_health import SILENT_WAITS, CounterHealth, CounterState
+from aniseshed.counter_health import SILENT_TIMEOUTS, CounterHealth, CounterState
 from aniseshed.partition import (
-    ABSENT_BEATS,
-    BASE,
-    BEAT_NS,
+    ABSENT_HEARTBEATS,
+    DIGIT_BASE,
     EPOCH_NS,
-    GROUP,
-    RETURN_BEATS,
+    GROUP_SIZE,
+    HEARTBEAT_INTERVAL_NS,
+    RETURN_HEARTBEATS,
     Heartbeat,
     PartitionDetector,
 )
@@ -132,14 +132,14 @@
     world = World(7, 4, PREMIUM, 2.0)
     world.run(6)
     world.counter.split()
-    world.run(ABSENT_BEATS + 2)
+    world.run(ABSENT_HEARTBEATS + 2)
     assert [sorted(b.limiter.roll.split) for b in world.benches] == [[1, 3], [0, 2], [1, 3], [0, 2]]
     before, began_ns = world.sent, world.now_ns
     world.run(60)
     rate = (world.sent - before) / ((world.now_ns - began_ns) / SECOND)
     assert 0.85 * PREMIUM[0] <= rate <= 1.05 * PREMIUM[0]
     world.counter.heal()
-    world.run(RETURN_BEATS + 3)
+    world.run(RETURN_HEARTBEATS + 3)
     assert not any(bench.limiter.roll.split for bench in world.benches)
     before, began_ns = world.sent, world.now_ns
     world.run(10)
@@ -193,7 +193,7 @@
         bench.request(units=3.0)
         while bench.pending_calls:
             bench.answer_call(0.0, api.Outcome.TIMEOUT)
-        bench.advance(round(SILENT_WAITS * SETTINGS.counter_timeout_ns))
+        bench.advance(round(SILENT_TIMEOUTS * SETTINGS.counter_timeout_ns))
     assert bench.limiter.weather.is_silent(bench.now_ns)
     bench.request()
     assert account.bucket.stored_permits <= max(0.0, account.balance) / 2 + 1e-6
@@ -212,13 +212,13 @@
 
 
 def test_digits_never_carry_and_everyone_is_seen() -> None:
-    rolls = [PartitionDetector(n, GROUP, START - 2 * EPOCH_NS, True) for n in range(GROUP)]
+    rolls = [PartitionDetector(n, GROUP_SIZE, START - 2 * EPOCH_NS, True) for n in range(GROUP_SIZE)]
     total = 0.0
     for beat in range(25):
-        total = turn(rolls, total, START + beat * BEAT_NS // 2)
-        assert 0 <= total < BASE**GROUP
+        total = turn(rolls, total, START + beat * HEARTBEAT_INTERVAL_NS // 2)
+        assert 0 <= total < DIGIT_BASE**GROUP_SIZE
         for roll in rolls:
-            roll.on_message(START + beat * BEAT_NS // 2, (roll.index + 1) % GROUP)
+            roll.on_message(START + beat * HEARTBEAT_INTERVAL_NS // 2, (roll.index + 1) % GROUP_SIZE)
     assert not any(roll.split for roll in rolls)
 
 
@@ -226,14 +226,16 @@
     rolls = [PartitionDetector(n, 2, START - 2 * EPOCH_NS, True) for n in range(2)]
     total, losses = 0.0, 0
     for beat in range(12):
-        now_ns = 34 * EPOCH_NS + beat * BEAT_NS
+        now_ns = 34 * EPOCH_NS + beat * HEARTBEAT_INTERVAL_NS
         if beat == 5:
-            total = -1.0 - BASE  # a healed split: the turns of the other side in this one's number
+            total = -1.0 - DIGIT_BASE  # a healed split: the turns of the other side in this one's number
         for roll in rolls:
             turn_of = roll.next_heartbeat(now_ns)
             total += turn_of.amount
             losses += roll.on_answer(now_ns, turn_of, total)
-    assert total < BASE**2 and 1 <= losses <= 2 and not rolls[0].split and rolls[0].read_only_until_ns == 0
+    assert (
+        total < DIGIT_BASE**2 and 1 <= losses <= 2 and not rolls[0].split and rolls[0].read_only_until_ns == 0
+    )
 
 
 @settings(max_examples=12, deadline=None, derandomize=True, print_blob=True)
@@ -257,14 +259,14 @@
         assert -world.lowest <= bound
 
 
-@pytest.mark.parametrize(("returning", "waits"), [([2], ABSENT_BEATS + 1), ([2, 3], 1)])
+@pytest.mark.parametrize(("returning", "waits"), [([2], ABSENT_HEARTBEATS + 1), ([2, 3], 1)])
 def test_one_that_returns_counts_when_nobody_is_left_on_the_side_it_left_or_it_was_missed_there(
     returning: list[int], waits: float
 ) -> None:
     rolls = [PartitionDetector(n, 4, START - 2 * EPOCH_NS, True) for n in range(4)]
     total, back = 0.0, 0
     for beat in range(30):
-        now_ns = 34 * EPOCH_NS + beat * BEAT_NS
+        now_ns = 34 * EPOCH_NS + beat * HEARTBEAT_INTERVAL_NS
         here = rolls if beat < 5 else rolls[:2] + [rolls[n] for n in returning if beat >= 12]
         total = turn(here, total, now_ns)
         for roll in rolls:
@@ -284,7 +286,7 @@
     rolls = [PartitionDetector(n, 4, START - 2 * EPOCH_NS, True) for n in range(4)]
     totals = [0.0, 0.0]
     for beat in range(30):
-        now_ns = 34 * EPOCH_NS + beat * BEAT_NS
+        now_ns = 34 * EPOCH_NS + beat * HEARTBEAT_INTERVAL_NS
         if beat <= 3:
             totals = [turn(rolls, totals[0], now_ns)] * 2
         else:
@@ -293,7 +295,7 @@
             for other in range(4):
                 if beat <= words_end or other // 2 == roll.index // 2:
                     roll.on_message(now_ns, other)
-        if beat > 3 + ABSENT_BEATS + 1:
+        if beat > 3 + ABSENT_HEARTBEATS + 1:
             assert [sorted(roll.split) for roll in rolls] == [[2, 3], [2, 3], [0, 1], [0, 1]]
 
 
@@ -302,7 +304,7 @@
     rolls = [PartitionDetector(n, 3, START - 2 * EPOCH_NS, True) for n in range(3)]
     total = 0.0
     for beat in range(20):
-        total = turn(rolls[:1] if beat < 8 else rolls, total, 34 * EPOCH_NS + beat * BEAT_NS)
+        total = turn(rolls[:1] if beat < 8 else rolls, total, 34 * EPOCH_NS + beat * HEARTBEAT_INTERVAL_NS)
         assert not rolls[0].split
 
 
@@ -310,7 +312,7 @@
     rolls = [PartitionDetector(n, 2, START - 2 * EPOCH_NS, True) for n in range(2)]
     total = 0.0
     for beat in range(20):
-        now_ns = START + beat * BEAT_NS
+        now_ns = START + beat * HEARTBEAT_INTERVAL_NS
         total = turn(rolls if beat < 5 or beat >= 11 else rolls[:1], total, now_ns)
         if beat < 5 or beat >= 10:  # its word is there a beat before its digit moves
             rolls[0].on_message(now_ns, 1)
@@ -321,18 +323,19 @@
     roll = PartitionDetector(0, 2, START - 2 * EPOCH_NS, True)
     first = roll.next_heartbeat(START)
     assert first.amount == 1.0 and not roll.on_answer(START, first, 1.0)
-    roll.next_heartbeat(START + BEAT_NS)  # no answer
-    reading = roll.next_heartbeat(START + 2 * BEAT_NS)
-    assert reading.amount == 0.0 and not roll.on_answer(START + 2 * BEAT_NS, reading, 1.0)
-    again = roll.next_heartbeat(START + 3 * BEAT_NS)
-    assert roll.on_answer(START + 3 * BEAT_NS, again, 1.0)  # from zero: what stood there is gone
+    roll.next_heartbeat(START + HEARTBEAT_INTERVAL_NS)  # no answer
+    reading = roll.next_heartbeat(START + 2 * HEARTBEAT_INTERVAL_NS)
+    assert reading.amount == 0.0 and not roll.on_answer(START + 2 * HEARTBEAT_INTERVAL_NS, reading, 1.0)
+    again = roll.next_heartbeat(START + 3 * HEARTBEAT_INTERVAL_NS)
+    # From zero: what stood there is gone.
+    assert roll.on_answer(START + 3 * HEARTBEAT_INTERVAL_NS, again, 1.0)
 
 
 def test_a_predecessors_digit_is_read_before_it_is_turned() -> None:
     roll = PartitionDetector(1, 2, START, True)
     reading = roll.next_heartbeat(START)
-    assert reading.amount == 0.0 and not roll.on_answer(START, reading, 3.0 * BASE)
-    assert roll.next_heartbeat(START + BEAT_NS).amount == -2.0 * BASE
+    assert reading.amount == 0.0 and not roll.on_answer(START, reading, 3.0 * DIGIT_BASE)
+    assert roll.next_heartbeat(START + HEARTBEAT_INTERVAL_NS).amount == -2.0 * DIGIT_BASE
     assert not roll.on_answer(START, Heartbeat(1, 0.0), 5.0)  # of another name
     roll.on_message(START, 99)
     assert roll.message_ns == {}
@@ -441,12 +444,12 @@
         bench.answer_call(sum(c.amount for c in bench.counter_calls))
     digit = 0.0
     for _ in range(4):
-        bench.advance(BEAT_NS)
+        bench.advance(HEARTBEAT_INTERVAL_NS)
         while bench.heartbeats:
             beat = bench.heartbeats.pop(0)
             digit += beat.amount
             bench.handle(api.Counted(beat.key, api.Outcome.OK, digit, MS, beat.call_id))
-    bench.advance(BEAT_NS)
+    bench.advance(HEARTBEAT_INTERVAL_NS)
     calls = len(bench.counter_calls)
     beat = bench.heartbeats.pop(0)
     bench.handle(api.Counted(beat.key, api.Outcome.OK, max(0.0, beat.amount), MS, beat.call_id))  # from zero
--- a/tests/test_exhausted_quotas.py
+++ b/tests/test_exhausted_quotas.py
@@ -10,14 +10,20 @@
 
 from aniseshed import interface as api
 from aniseshed.account import SmoothBursty
-from aniseshed.exhausted_quotas import KIND, MOST_KNOWN, SPENT_NS, WORDS_SAVED, ExhaustedQuotas
+from aniseshed.exhausted_quotas import (
+    MAX_REMEMBERED_CUSTOMERS,
+    MESSAGE_BURST,
+    MESSAGE_LIFETIME_NS,
+    MESSAGE_TYPE,
+    ExhaustedQuotas,
+)
 
 TOLD = replace(FLEET, may_message_peers=True)
 BASIC, PREMIUM = 0, 2
 
 
 def word(customer: int) -> bytes:
-    return KIND + customer.to_bytes(5, "big")
+    return MESSAGE_TYPE + customer.to_bytes(5, "big")
 
 
 def answered(bench: Bench, total: float | None = None, **request: object) -> int:
@@ -39,7 +45,7 @@
 
 
 def words(bench: Bench) -> list[bytes]:
-    return [tell.payload for tell in bench.peer_messages if tell.payload.startswith(KIND)]
+    return [tell.payload for tell in bench.peer_messages if tell.payload.startswith(MESSAGE_TYPE)]
 
 
 def test_who_was_refused_by_the_counter_is_told_of_once_while_it_holds() -> None:
@@ -92,7 +98,7 @@
     bench.handle(api.PeerMessage(3, word(7)))
     refused, other = answered(bench, customer=7), answered(bench, customer=8)
     final = bench.final_answers[refused]
-    assert isinstance(final, api.Refuse) and 0 < final.retry_after_ns <= SPENT_NS
+    assert isinstance(final, api.Refuse) and 0 < final.retry_after_ns <= MESSAGE_LIFETIME_NS
     assert bench.was_sent(other), "nobody told of this one"
     calls = len(bench.counter_calls)
     bench.advance(SECOND)
@@ -100,7 +106,7 @@
     assert len(bench.counter_calls) > calls
     late = without_calls()
     late.handle(api.PeerMessage(3, word(7)))
-    late.advance(SPENT_NS)
+    late.advance(MESSAGE_LIFETIME_NS)
     for n in range(10):
         answered(late, customer=20_000 + n)
     assert late.was_sent(answered(late, customer=7))
@@ -121,7 +127,7 @@
 
 
 def test_the_plan_that_loses_most_is_told_of_first() -> None:
-    spent = ExhaustedQuotas(SmoothBursty(START, 0.1, WORDS_SAVED, 1.0))
+    spent = ExhaustedQuotas(SmoothBursty(START, 0.1, MESSAGE_BURST, 1.0))
     assert spent.on_refused(START, 1, 0.04) is None, "the cheapest wait until all words are saved"
     assert spent.on_refused(START, 2, 1.0) == word(2)
     assert spent.on_refused(START, 3, 1.0) is None, "one in ten seconds"
@@ -129,13 +135,13 @@
 
 
 def test_noise_is_passed_over_and_what_is_known_stays_bounded() -> None:
-    spent = ExhaustedQuotas(SmoothBursty(START, 0.1, WORDS_SAVED, 1.0))
+    spent = ExhaustedQuotas(SmoothBursty(START, 0.1, MESSAGE_BURST, 1.0))
     for payload in (b"", b"S", b"S1234", b"S123456", b"here!!", bytes(6), word(7)[::-1]):
         spent.on_message(START, payload)
     assert not spent.expires_ns
-    for customer in range(MOST_KNOWN + 100):
+    for customer in range(MAX_REMEMBERED_CUSTOMERS + 100):
         spent.on_message(START, word(customer))
-    assert len(spent.expires_ns) == MOST_KNOWN and spent.remaining_ns(START, 0) == 0
-    for n in range(MOST_KNOWN):
-        spent.on_message(START + SPENT_NS + n, word(MOST_KNOWN + 100 + n % 2))
+    assert len(spent.expires_ns) == MAX_REMEMBERED_CUSTOMERS and spent.remaining_ns(START, 0) == 0
+    for n in range(MAX_REMEMBERED_CUSTOMERS):
+        spent.on_message(START + MESSAGE_LIFETIME_NS + n, word(MAX_REMEMBERED_CUSTOMERS + 100 + n % 2))
     assert len(spent.expires_ns) <= 3
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -188,8 +188,8 @@
         "import sys; sys.path.insert(0, sys.argv[1])\n"
         "from aniseshed import partition, policy\n"
         "from hookport.emulator import cell\n"
-        "cell.set_constant('aniseshed.partition.BEAT_NS', 77)\n"
-        "print(policy.BEAT_NS, partition.BEAT_NS)\n"
+        "cell.set_constant('aniseshed.partition.HEARTBEAT_INTERVAL_NS', 77)\n"
+        "print(policy.HEARTBEAT_INTERVAL_NS, partition.HEARTBEAT_INTERVAL_NS)\n"
     )
     words = [sys.executable, "-c", code, str(experiment.ROOT)]
     assert subprocess.run(words, capture_output=True, text=True, check=True).stdout == "77 77\n"
--- a/tests/test_sequence_digits.py
+++ b/tests/test_sequence_digits.py
@@ -11,7 +11,7 @@
 
 from aniseshed import interface as api
 from aniseshed.account import Account, CallStatus, CounterCall
-from aniseshed.sequence_digits import MOST_LIMITERS, SequenceDigits, assign_digit
+from aniseshed.sequence_digits import MAX_DIGITS, SequenceDigits, assign_digit
 
 QUOTA, NO_CEILING = (10.0, 20.0), (0.0, 0.0)
 LONG_NS = 10**12
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("burst", [0.7, 6.0, 34.0, 165.0, 5e4])
-@pytest.mark.parametrize("size", range(1, MOST_LIMITERS + 1))
+@pytest.mark.parametrize("size", range(1, MAX_DIGITS + 1))
 def test_every_limiter_reads_its_own_bit_whatever_the_others_wrote(burst: float, size: int) -> None:
     chance = random.Random(size)
     marks = [SequenceDigits.for_burst(burst, position, size) for position in range(size)]
@@ -89,7 +89,7 @@
     marks = SequenceDigits.for_burst(20.0, 0, 2)
     assert marks and marks.decode(1e6) == (1e6, None)
     assert marks.decode(5.0 + marks.step / 2)[1] is None
-    assert SequenceDigits.for_burst(20.0, 0, MOST_LIMITERS + 1) is None
+    assert SequenceDigits.for_burst(20.0, 0, MAX_DIGITS + 1) is None
     outside = SequenceDigits.for_burst(20.0, 5, 2)
     assert outside and outside.weight == 0.0 and outside.decode(4.0) == (4.0, None)
 
