--- a/aniseshed/account.py
+++ b/aniseshed/account.py
@@ -1,17 +1,19 @@
-"""A customer's quota as one limiter sees it: slice, belief of the whole store, word to the counter.
-
-The counter keeps one number for a customer and a window of time: the sum of what all limiters told it.
-
-- *Who tells what.*  Units are told once, by the limiter that charged them, with a question or later. Those
-  asked for and not granted, or charged for a request of which nothing was sent, are taken back.
-- *A new window* begins at zero, though the store does not.  The first limiter to call hands on what is
-  missing from the store by its own account.  Others must not take that twice (``expected``).
-- *Silence.*  A call that timed out is in doubt until an answer comes: its own, late, or the next total of
-  its name, whose mark tells whether it was added (``aniseshed/sequence_digits.py``).  What was not added is
-  told again.
-
-Every unit is accounted for: ``reported + unreported + in_flight`` is
-``charged + carried_over + expired`` after every step.
+"""A customer's quota as one limiter keeps it: its slice, an estimate of the whole balance, and its reports.
+
+The counter keeps one total per customer and time window: the sum of what all limiters reported.
+
+- *Reports.*  The limiter that charged units reports them, once: with the next call that asks for units, or
+  with a call of its own.  Units asked for and not granted, or charged for a request of which nothing was
+  sent, are taken back.
+- *A new window* begins with a total of zero, though the balance does not start anew.  The first limiter to
+  call carries over what is missing from the balance by its own account.  The others must not subtract that a
+  second time (``expected_debt``).
+- *Timed-out calls* are uncertain until they are resolved: by their own late answer, or by the next total
+  under the same key, whose sequence digit shows whether they were added (``aniseshed/sequence_digits.py``).
+  What was not added is reported again.
+
+Every unit is accounted for.  After every step ``reported + unreported + in_flight`` equals
+``charged + carried_over + expired``.
 """
 
 from __future__ import annotations
@@ -53,7 +55,10 @@
 
 
 class SmoothBursty:
-    """Guava's bucket: stored permits go first, the shortfall is taken ahead and the next one waits."""
+    """Guava's token bucket: stored permits are used first; a shortfall is taken in advance from future ones.
+
+    The next caller waits for what was taken in advance.
+    """
 
     def __init__(self, now_ns: int, rate: float, burst: float, stored: float) -> None:
         self.stored_permits, self.max_permits = stored, burst
@@ -66,7 +71,10 @@
             self.next_free_ticket_ns = now_ns
 
     def reserve(self, permits: float) -> int:
-        """Take permits (settling may give some back: below 0); the ticket at which they are free."""
+        """Take permits and return the ticket: the time in nanoseconds at which they are free.
+
+        A negative number gives permits back, as settling a request may.
+        """
         ticket_ns, spend = self.next_free_ticket_ns, min(permits, self.stored_permits)
         self.stored_permits = min(self.max_permits, self.stored_permits - spend)
         self.next_free_ticket_ns += round((permits - spend) * self.stable_interval_ns)
@@ -74,27 +82,34 @@
 
 
 class CallPacer:
-    """Guards against a counter so crowded or slow that it answers nobody: each limiter paces its calls by
-    what it sees.  Could refuse where a slow counter would still have answered."""
+    """Limits the rate of one limiter's calls to the counter by how the counter answers.
+
+    Without it, calls could crowd a slow counter until it answers none of them.  It may refuse a call that a
+    slow counter would still have answered.
+    """
 
     def __init__(self, limiters: int, timeout_ns: int) -> None:
         self.interval_ns = self.initial_interval_ns = max(1, limiters * timeout_ns / CALLS_PER_TIMEOUT)
         self.tokens = SmoothBursty(0, SECOND_NS / self.interval_ns, CALL_BURST, CALL_BURST)
-        self.consecutive_misses = 0  # in a row
+        self.consecutive_misses = 0
 
     def is_free(self, now_ns: int, saved: float) -> bool:
-        """Whether a call may go now that leaves all but ``saved`` of those saved up."""
+        """Whether a call may be made now that needs at least ``saved`` calls saved up."""
         self.tokens.resync(now_ns)
         return self.tokens.next_free_ticket_ns <= now_ns and self.tokens.stored_permits >= saved
 
     def on_call(self) -> None:
         self.tokens.reserve(1.0)
 
-    def on_result(self, heard: bool) -> None:
-        """An answer speeds up a little, the first miss of a row slows down, and each further one more."""
+    def on_result(self, answered: bool) -> None:
+        """Adjust the interval between calls.
+
+        An answer shortens it a little.  The first of several misses in a row lengthens it, and each further
+        one delays the next call exponentially.
+        """
         change = (
             CALL_INTERVAL_DECREASE
-            if heard
+            if answered
             else CALL_INTERVAL_INCREASE
             if not self.consecutive_misses
             else 1.0
@@ -103,14 +118,16 @@
             max(self.interval_ns * change, self.initial_interval_ns / MAX_INTERVAL_FACTOR),
             self.initial_interval_ns * MAX_INTERVAL_FACTOR,
         )
-        # Guards against an overflow in a long outage.
-        self.consecutive_misses = 0 if heard else min(self.consecutive_misses + 1, int(MAX_INTERVAL_FACTOR))
+        # Bounded, because 2 to the number of misses would overflow in a long outage.
+        self.consecutive_misses = (
+            0 if answered else min(self.consecutive_misses + 1, int(MAX_INTERVAL_FACTOR))
+        )
         self.tokens.stable_interval_ns = self.interval_ns * min(
             2.0**self.consecutive_misses, MAX_INTERVAL_FACTOR
         )
 
     def on_recovered(self, now_ns: int) -> None:
-        """The counter answers again: guards against waiting out a gap that only its silence had made."""
+        """The counter answers again: drop the delay that misses added, which only its silence had caused."""
         self.consecutive_misses, self.tokens.stable_interval_ns = 0, self.interval_ns
         self.tokens.next_free_ticket_ns = min(
             self.tokens.next_free_ticket_ns, now_ns + round(self.interval_ns)
@@ -119,47 +136,52 @@
 
 @dataclass(slots=True, eq=False)
 class Account:
-    """One customer at one limiter.  Times in nanoseconds, amounts in units, ``rate`` in units a second."""
+    """One customer's quota at one limiter.
+
+    Times are in nanoseconds, amounts in units, ``rate`` in units per second.
+    """
 
-    name: int
+    name: int  # the customer's number
     rate: float
     burst: float
-    set_size: float  # limiters over which the customer's requests come
-    bucket: SmoothBursty
-    ceiling: SmoothBursty
+    set_size: float  # limiters over which the customer's requests are spread
+    bucket: SmoothBursty  # this limiter's slice of the quota
+    ceiling: SmoothBursty  # this limiter's slice of the ceiling
     window_ns: int
-    balance: float  # what the whole quota is believed to hold
-    balance_ns: int
+    balance: float  # estimate of what the whole quota still holds
+    balance_ns: int  # time of the last refill
     last_used_ns: int
-    overflow: float = math.inf  # refill that found no place since the last answer
-    total: float | None = None  # of the count at the last answer
-    own_units: float = 0.0  # what this limiter added in the count's present life
-    total_window: int = 0  # of the last answer
-    call_window: int = 0  # of the last question
-    expected_debt: float = 0.0  # of the debt that another hands on in this window: it is in the room already
+    overflow: float = math.inf  # refill beyond the full balance since the last answer
+    total: float | None = None  # the counter's total at the last answer
+    own_units: float = 0.0  # what this limiter has added to the total since it last began at zero
+    total_window: int = 0  # window of the last answer
+    call_window: int = 0  # window of the last call
+    expected_debt: float = (
+        0.0  # debt that another carries over in this window; the balance contains it already
+    )
     unreported: float = 0.0
-    counter_health: CounterHealth | None = None  # of the counter, one for all accounts of a limiter
-    silence_ns: int = 0  # of the counter, up to the last refill
-    withheld_refill: float = 0.0  # refill of that time which others may have spent
-    slice_capped_ns: int = -1  # the silence in which the slice was cut to its part of the room
+    counter_health: CounterHealth | None = None  # shared by all accounts of a limiter
+    silence_ns: int = 0  # the counter's total silence at the last refill
+    withheld_refill: float = 0.0  # refill during a silence: others may have spent it and not reported it yet
+    slice_capped_ns: int = -1  # start of the silence in which the slice was cut to its share of the balance
     digits: SequenceDigits | None = None
-    digit: int | None = None  # this limiter's, in the count as last seen; None: not known
-    digit_call: CounterCall | None = None  # the one call that turns the digit and is not resolved
-    uncertain_calls: list[CounterCall] = field(default_factory=list)  # of the present name, by number
-    known_before: bool = False  # it asked of the customer before the present window
-    others_knew: bool = True  # so did another limiter, which has marked the present count
-    total_lost: bool = False  # the mark shows that the count has lost what was added
-    quota_share: float = 1.0  # of the quota that belongs to this side of a split counter
-    split_healed: bool = False  # a split has healed: totals of the other side are no news
-    answered_ns: int = 0  # the last total
-    reset_ns: int = -(1 << 62)  # when a count was last found to have begun again
-    replaced_ns: int = -(1 << 62)  # the last replacement, as the roll told it, that this account knows of
-    late_digit_call: CounterCall | None = None  # the last marked call taken for lost: it may yet be added
-    early_units: float = 0.0  # of this limiter's units in a count of which no total has been learnt
-    answered_call_id: int = 0  # the latest call whose answer came
-    open_attempts: int = 0  # attempts out
-    open_calls: int = 0  # questions out
-    reported: float = field(default=0.0)  # the books: see imbalance()
+    digit: int | None = None  # this limiter's digit in the last total; None: unknown
+    digit_call: CounterCall | None = None  # the one unresolved call that advances the digit
+    uncertain_calls: list[CounterCall] = field(default_factory=list)  # of the current key, by call id
+    known_before: bool = False  # this limiter called for the customer before the current window
+    others_knew: bool = True  # so did another limiter that has advanced its digit in the current total
+    total_lost: bool = False  # the digit shows that the total has lost what was added
+    quota_share: float = 1.0  # share of the quota that belongs to this side of a split counter
+    split_healed: bool = False  # a split has healed: what the other side had counted is not new
+    answered_ns: int = 0  # time of the last total
+    reset_ns: int = -(1 << 62)  # when a total was last found to have started again from zero
+    replaced_ns: int = -(1 << 62)  # last replacement seen by the heartbeats that this account has handled
+    late_digit_call: CounterCall | None = None  # last digit call presumed lost; it may still be added
+    early_units: float = 0.0  # units of this limiter in a total that it has not read yet
+    answered_call_id: int = 0  # highest id of a call that was answered
+    open_attempts: int = 0
+    open_calls: int = 0
+    reported: float = field(default=0.0)  # this and the next four: see imbalance()
     in_flight: float = 0.0
     charged: float = 0.0
     carried_over: float = 0.0
@@ -173,31 +195,33 @@
         set_size: float,
         quota: tuple[float, float],
         ceiling: tuple[float, float],
-        place: tuple[int, int] = (-1, 1),
-        lived_ns: int = 0,
-        weather: CounterHealth | None = None,
+        digit_position: tuple[int, int] = (-1, 1),
+        uptime_ns: int = 0,
+        counter_health: CounterHealth | None = None,
     ) -> Account:
-        """An unseen customer: full, by its slice and by belief.
+        """The account of a customer not seen before: full, both its slice and the balance.
 
-        Quota and ceiling are rate and burst; a rate of 0 is none.  The slice of a ceiling starts empty:
-        a start forgets what was spent.  ``place`` is this limiter's digit of the marks and their number,
-        ``lived_ns`` how long it has run: one that lives longer than a window has no mark of its own in it."""
+        ``quota`` and ``ceiling`` are rate and burst; a rate of 0 means none.  The slice of a ceiling starts
+        empty, because a limiter that starts does not know what was spent.  ``digit_position`` is the position
+        of this limiter's sequence digit and the number of digits.  ``uptime_ns`` is how long the limiter has
+        run: if that is longer than a window, the current total holds no digit of its own.
+        """
         rate, burst = quota if min(quota) > 0 else (1.0, 1.0)
-        part = (ceiling[0] / set_size, ceiling[1] / set_size, 0.0)
+        ceiling_slice = (ceiling[0] / set_size, ceiling[1] / set_size, 0.0)
         if ceiling[0] <= 0:
-            part = (1.0, math.inf, math.inf)
+            ceiling_slice = (1.0, math.inf, math.inf)
         window_ns = min(round(WINDOW_BURSTS * burst / rate * SECOND_NS), MAX_WINDOW_NS)
         return cls(
             name=name,
-            counter_health=weather,
-            silence_ns=weather.total_silence_ns(now_ns) if weather else 0,
-            digits=SequenceDigits.for_burst(burst, *place),
-            digit=0 if lived_ns > window_ns else None,
+            counter_health=counter_health,
+            silence_ns=counter_health.total_silence_ns(now_ns) if counter_health else 0,
+            digits=SequenceDigits.for_burst(burst, *digit_position),
+            digit=0 if uptime_ns > window_ns else None,
             rate=rate,
             burst=burst,
             set_size=set_size,
             bucket=SmoothBursty(now_ns, rate / set_size, burst / set_size, burst / set_size),
-            ceiling=SmoothBursty(now_ns, *part),
+            ceiling=SmoothBursty(now_ns, *ceiling_slice),
             window_ns=window_ns,
             balance=burst,
             balance_ns=now_ns,
@@ -205,222 +229,230 @@
         )
 
     def counter_key(self, now_ns: int) -> int:
-        """The name of the present window's count; all limiters come to the same by their clocks."""
+        """The key of the current window's total; all limiters derive the same one from their clocks."""
         return (self.name + (now_ns // self.window_ns << CUSTOMER_BITS)) % (1 << 64)
 
     def refill(self, now_ns: int) -> float:
-        passed_ns = now_ns - self.balance_ns
+        """Add to the balance what has refilled since the last call, and return it."""
+        elapsed_ns = now_ns - self.balance_ns
         if self.counter_health:
-            # Guards against a burst for each limiter when the counter is back: while it was silent the others
-            # spent their slices unseen.
+            # While the counter is silent the others spend their slices without reporting it.  With their part
+            # of the refill in the balance, each limiter could grant a burst once the counter is back.
             silence_ns = self.counter_health.total_silence_ns(now_ns)
             unsure_ns = round((silence_ns - self.silence_ns) * (1 - 1 / self.set_size))
-            passed_ns, self.silence_ns = passed_ns - unsure_ns, silence_ns
+            elapsed_ns, self.silence_ns = elapsed_ns - unsure_ns, silence_ns
             self.withheld_refill = min(self.burst, self.withheld_refill + self.rate * unsure_ns / SECOND_NS)
-        full = self.balance + self.rate * passed_ns / SECOND_NS
+        full = self.balance + self.rate * elapsed_ns / SECOND_NS
         self.balance, self.balance_ns = min(self.burst, full), now_ns
         self.overflow += full - self.balance
         return self.balance
 
     def spend(self, now_ns: int, units: float) -> None:
-        """Take units from the room, or put them back if below 0; a debt has a floor."""
+        """Take units from the balance, or put them back if below 0; the debt is bounded."""
         self.balance = min(self.burst, max(self.refill(now_ns) - units, MIN_BALANCE_BURSTS * self.burst))
 
     def charge(self, now_ns: int, units: float) -> None:
-        """Units that this limiter spends by itself; the counter is told later."""
+        """Charge units without asking the counter; they are reported later."""
         self.spend(now_ns, units)
         self.unreported += units
         self.charged += units
 
     def refund(self, now_ns: int, units: float, from_slice: bool) -> None:
-        """Units that were charged and never used."""
+        """Give back units that were charged and not used, to the slice too if they came from it."""
         self.charge(now_ns, -units)
         if from_slice:
             self.bucket.reserve(-units)
 
     @property
     def max_total_decrease(self) -> float:
-        """Units that others may take back between two totals; one that falls further is an older one."""
+        """Units that others may take back between two totals; one that falls further is an older total."""
         return TOTAL_DECREASE_UNITS + TOTAL_DECREASE_BURSTS * self.burst
 
     def has_reported_in_window(self, now_ns: int) -> bool:
-        """Whether this limiter has told the present count something."""
+        """Whether this limiter has added to the current window's total."""
         return self.own_units > 0 and self.total_window == now_ns // self.window_ns
 
     def has_refund_to_report(self) -> bool:
-        """Units that were asked and not granted stand in everyone's way."""
+        """Whether units that were asked for and not granted still count against the customer everywhere."""
         return self.unreported <= -self.min_report_units
 
     @property
     def min_report_units(self) -> float:
-        """The least amount that is worth a call, in units: less is what rounding leaves."""
+        """The smallest amount that is worth a call: less may come from rounding."""
         return self.digits.quantum if self.digits else ROUNDING_UNITS
 
     def is_report_due(self) -> bool:
-        """Unreported spends are an error in everyone's view: it is kept to a part of the room left."""
+        """Whether the unreported units are too large a part of the remaining balance.
+
+        They are an error in every other limiter's balance.
+        """
         return self.unreported >= max(self.min_report_units, REPORT_SHARE * self.balance / self.set_size)
 
-    def start_call(self, now_ns: int, request_id: int, units: float, call: int = 0) -> CounterCall:
-        """A question for these units, which tells all local spends since the last one."""
+    def start_call(self, now_ns: int, request_id: int, units: float, call_id: int = 0) -> CounterCall:
+        """A call that asks for these units and reports all local charges since the last call."""
         window = now_ns // self.window_ns
         if window != self.call_window:
             self.start_window(now_ns, window)
-        local = self.unreported
-        if self.digits:  # guards against a fraction of a unit being read as somebody's mark
-            local = self.digits.round_up(units + local) - units
-        self.unreported -= local
-        self.in_flight += local
+        local_units = self.unreported
+        if self.digits:  # a fraction of a quantum would be read as somebody's digit
+            local_units = self.digits.round_up(units + local_units) - units
+        self.unreported -= local_units
+        self.in_flight += local_units
         self.open_calls += 1
-        question = CounterCall(self, request_id, self.counter_key(now_ns), units, local, call, now_ns)
+        call = CounterCall(self, request_id, self.counter_key(now_ns), units, local_units, call_id, now_ns)
         if self.late_digit_call and now_ns - self.late_digit_call.started_ns > LATE_CALL_NS:
             self.late_digit_call = None
         if self.digits and self.digit_call is self.late_digit_call is None and self.digit is not None:
-            turn = self.digits.next_digit(self.digit, self.known_before) - self.digit
-            question.digit_amount, self.digit_call = self.digits.weight * turn, question
-        return question
+            advance = self.digits.next_digit(self.digit, self.known_before) - self.digit
+            call.digit_amount, self.digit_call = self.digits.weight * advance, call
+        return call
 
     def start_window(self, now_ns: int, window: int) -> None:
-        """Keep to the window: nothing is taken back from another, nothing told that has long refilled."""
-        for question in self.uncertain_calls:
-            self.on_added(now_ns, question)
+        """Begin a new window.
+
+        Nothing is taken back from another window's total, and nothing is reported that has refilled since.
+        """
+        for call in self.uncertain_calls:
+            self.on_added(now_ns, call)
         if self.call_window and self.digits and self.digits.weight:
-            self.digit = 0  # it was here before this window began: no mark of its own can stand in it
+            self.digit = 0  # it was running before this window began, so it has no digit in the new total
         owed = min(max(0.0, self.unreported), max(0.0, self.burst - self.refill(now_ns)))
         self.expired += owed - self.unreported
         self.known_before, self.unreported, self.call_window = self.call_window > 0, owed, window
-        self.uncertain_calls, self.digit_call, self.late_digit_call, self.early_units = (
-            [],
-            None,
-            None,
-            0.0,
-        )
-
-    def on_answer(self, now_ns: int, question: CounterCall, total: float) -> bool:
-        """An answer; whether it grants what was asked.  The units are charged if it does."""
-        current, fate = question.key == self.counter_key(now_ns), question.status
-        if fate in (CallStatus.LOST, CallStatus.RESOLVED):
-            if fate is CallStatus.LOST and current:
-                self.on_late_addition(now_ns, question)
+        self.uncertain_calls, self.digit_call, self.late_digit_call, self.early_units = [], None, None, 0.0
+
+    def on_answer(self, now_ns: int, call: CounterCall, total: float) -> bool:
+        """Handle an answer; whether it grants the units asked for, which are then charged."""
+        current, status = call.key == self.counter_key(now_ns), call.status
+        if status in (CallStatus.LOST, CallStatus.RESOLVED):
+            if status is CallStatus.LOST and current:
+                self.on_late_addition(now_ns, call)
             return False
-        if fate is CallStatus.UNCERTAIN:
-            self.uncertain_calls.remove(question)
-        self.finish_call(question)
-        self.reported += question.amount
-        if current and question.call_id < self.answered_call_id:
-            # Out of turn, from another connection: a later total has shown it already, as if it were others'.
-            self.own_units += question.amount
-            self.spend(now_ns, -question.amount)
+        if status is CallStatus.UNCERTAIN:
+            self.uncertain_calls.remove(call)
+        self.finish_call(call)
+        self.reported += call.amount
+        if current and call.call_id < self.answered_call_id:
+            # Out of order, from another connection.  A later total contained it already, and it was taken for
+            # other limiters' units.
+            self.own_units += call.amount
+            self.spend(now_ns, -call.amount)
         elif current:
-            self.update_from_total(now_ns, self.resolve_uncertain(now_ns, question, total), question)
-        if current and fate is CallStatus.IN_FLIGHT and question.units > 0 and self.balance >= question.units:
-            self.spend(now_ns, question.units)
-            self.charged += question.units
+            self.update_from_total(now_ns, self.resolve_uncertain(now_ns, call, total), call)
+        if current and status is CallStatus.IN_FLIGHT and call.units > 0 and self.balance >= call.units:
+            self.spend(now_ns, call.units)
+            self.charged += call.units
             return True
-        self.reverse_ungranted(now_ns, question)
+        self.reverse_ungranted(now_ns, call)
         return False
 
-    def on_late_addition(self, now_ns: int, question: CounterCall) -> None:
-        """What was told again as lost stands twice: the totals since then showed it as if it were others'."""
-        question.status = CallStatus.RESOLVED
-        self.reported += question.amount
-        self.unreported -= question.amount
-        self.own_units += question.amount
-        self.spend(now_ns, -question.amount)
-
-    def resolve_uncertain(self, now_ns: int, question: CounterCall, total: float) -> float:
-        """What the mark in a total tells of the calls in doubt; returns the total without marks."""
-        body, digit = self.digits.decode(total) if self.digits else (total, None)
-        known, marked, ghost, self.answered_call_id = (
+    def on_late_addition(self, now_ns: int, call: CounterCall) -> None:
+        """A call presumed lost was added after all, so what it reported is in the total twice.
+
+        The totals since then contained it, and it was taken for other limiters' units.
+        """
+        call.status = CallStatus.RESOLVED
+        self.reported += call.amount
+        self.unreported -= call.amount
+        self.own_units += call.amount
+        self.spend(now_ns, -call.amount)
+
+    def resolve_uncertain(self, now_ns: int, call: CounterCall, total: float) -> float:
+        """Resolve the uncertain calls by the digit in a total, and return the total without digits."""
+        amount, digit = self.digits.decode(total) if self.digits else (total, None)
+        known, digit_call, late_call, self.answered_call_id = (
             self.digit,
             self.digit_call,
             self.late_digit_call,
-            question.call_id,
+            call.call_id,
         )
         self.digit = digit
         if self.digits and digit is not None:
             self.others_knew = self.digits.others_knew(total, digit)
         if self.digits is None or digit is None or known is None:
-            self.digit_call = None if marked is question else marked
+            self.digit_call = None if digit_call is call else digit_call
         else:
-            turned = digit == self.digits.next_digit(known, self.known_before)
-            if marked and (marked is question or digit != known):
-                self.total_lost, self.digit_call = not turned, None
-                if turned and marked.status is CallStatus.UNCERTAIN:
-                    self.uncertain_calls.remove(marked)
-                    self.on_added(now_ns, marked)
-            elif marked is None and turned and ghost:
+            advanced = digit == self.digits.next_digit(known, self.known_before)
+            if digit_call and (digit_call is call or digit != known):
+                self.total_lost, self.digit_call = not advanced, None
+                if advanced and digit_call.status is CallStatus.UNCERTAIN:
+                    self.uncertain_calls.remove(digit_call)
+                    self.on_added(now_ns, digit_call)
+            elif digit_call is None and advanced and late_call:
                 self.late_digit_call = None
-                if ghost.status is CallStatus.LOST:
-                    self.on_late_addition(now_ns, ghost)
-            elif marked is None:
+                if late_call.status is CallStatus.LOST:
+                    self.on_late_addition(now_ns, late_call)
+            elif digit_call is None:
                 self.total_lost = digit != known and not (known == 0 and self.digits.base == 2)
-        for doubt in self.uncertain_calls:  # guards against overrun: what is not seen is told again
-            self.on_lost(doubt)
+        # What cannot be read from the total is reported again: counting it too often refuses too much, while
+        # counting it too rarely would exceed the quota.
+        for uncertain in self.uncertain_calls:
+            self.on_lost(uncertain)
         self.uncertain_calls.clear()
-        return body
-
-    def on_added(self, now_ns: int, question: CounterCall) -> None:
-        """A call in doubt has been added."""
-        self.in_flight -= question.local_units
-        self.reported += question.amount
-        question.status = CallStatus.RESOLVED
-        self.reverse_ungranted(now_ns, question)
-        if question.key == self.counter_key(now_ns):
+        return amount
+
+    def on_added(self, now_ns: int, call: CounterCall) -> None:
+        """An uncertain call has been added."""
+        self.in_flight -= call.local_units
+        self.reported += call.amount
+        call.status = CallStatus.RESOLVED
+        self.reverse_ungranted(now_ns, call)
+        if call.key == self.counter_key(now_ns):
             if self.total is not None and self.total_window == now_ns // self.window_ns:
-                self.total += question.amount
-                self.own_units += question.amount
+                self.total += call.amount
+                self.own_units += call.amount
             else:
-                self.early_units += question.amount
-
-    def on_lost(self, question: CounterCall) -> None:
-        """A call in doubt has not been added: what it told is to be told again."""
-        question.status = CallStatus.LOST
-        self.in_flight -= question.local_units
-        self.unreported += question.local_units
-        if self.digit_call is question:
-            self.digit_call, self.late_digit_call = None, question
-
-    def reverse_ungranted(self, now_ns: int, question: CounterCall) -> None:
-        """Units that were added and not granted: they are taken from the window in which they stand."""
-        if question.key == self.counter_key(now_ns):
-            self.unreported -= question.units
+                self.early_units += call.amount
+
+    def on_lost(self, call: CounterCall) -> None:
+        """An uncertain call has not been added: its local units must be reported again."""
+        call.status = CallStatus.LOST
+        self.in_flight -= call.local_units
+        self.unreported += call.local_units
+        if self.digit_call is call:
+            self.digit_call, self.late_digit_call = None, call
+
+    def reverse_ungranted(self, now_ns: int, call: CounterCall) -> None:
+        """Take back units that were added and not granted, from the window to which they were added."""
+        if call.key == self.counter_key(now_ns):
+            self.unreported -= call.units
         else:
-            self.expired += question.units  # with their window
-
-    def on_rejected(self, question: CounterCall) -> None:
-        """The counter turned the call away, or never got it; it may say so late."""
-        if question.status is CallStatus.UNCERTAIN:
-            self.uncertain_calls.remove(question)
-            self.on_lost(question)
-        elif question.status is CallStatus.IN_FLIGHT:
-            self.finish_call(question)
-            self.unreported += question.local_units
-        if question in (self.digit_call, self.late_digit_call):  # no mark of it can show any more
-            self.digit_call = None if self.digit_call is question else self.digit_call
-            self.late_digit_call = None if self.late_digit_call is question else self.late_digit_call
-
-    def on_timeout(self, now_ns: int, question: CounterCall) -> None:
-        """No answer in time: it may have been added."""
-        if question.status is not CallStatus.IN_FLIGHT:
+            self.expired += call.units  # with their window
+
+    def on_rejected(self, call: CounterCall) -> None:
+        """The counter rejected the call or never received it; that may become known only after a time-out."""
+        if call.status is CallStatus.UNCERTAIN:
+            self.uncertain_calls.remove(call)
+            self.on_lost(call)
+        elif call.status is CallStatus.IN_FLIGHT:
+            self.finish_call(call)
+            self.unreported += call.local_units
+        if call in (self.digit_call, self.late_digit_call):  # it can no longer advance the digit
+            self.digit_call = None if self.digit_call is call else self.digit_call
+            self.late_digit_call = None if self.late_digit_call is call else self.late_digit_call
+
+    def on_timeout(self, now_ns: int, call: CounterCall) -> None:
+        """There was no answer in time: the counter may have added the call."""
+        if call.status is not CallStatus.IN_FLIGHT:
             return
         self.open_calls -= 1
-        question.status = CallStatus.UNCERTAIN
-        if question.key == self.counter_key(now_ns):
-            self.uncertain_calls.append(question)
+        call.status = CallStatus.UNCERTAIN
+        if call.key == self.counter_key(now_ns):
+            self.uncertain_calls.append(call)
         else:
-            self.on_added(now_ns, question)  # its window is over, and what it told with it
+            self.on_added(now_ns, call)  # its window is over, so nothing can be reported again
 
-    def finish_call(self, question: CounterCall) -> None:
-        self.open_calls -= question.status is CallStatus.IN_FLIGHT
-        self.in_flight -= question.local_units
-        question.status = CallStatus.RESOLVED
+    def finish_call(self, call: CounterCall) -> None:
+        self.open_calls -= call.status is CallStatus.IN_FLIGHT
+        self.in_flight -= call.local_units
+        call.status = CallStatus.RESOLVED
 
-    def update_from_total(self, now_ns: int, total: float, question: CounterCall) -> None:
-        """Take from the room what others added since the last answer, or since the window began."""
-        added, window = question.amount, now_ns // self.window_ns
+    def update_from_total(self, now_ns: int, total: float, call: CounterCall) -> None:
+        """Take from the balance what others added since the last answer, or since the window began."""
+        added, window = call.amount, now_ns // self.window_ns
         elapsed_s = now_ns % self.window_ns / SECOND_NS
-        room = self.refill(now_ns)
-        # A new window or lost counts, one case for both.
+        balance = self.refill(now_ns)
+        # A total below this limiter's own units was lost or belongs to a new window; both are handled below.
         lost = self.total_lost or total < self.own_units + added - ROUNDING_UNITS
         if self.total is not None and self.total_window == window:
             lost = lost or total - self.total - added < -self.max_total_decrease
@@ -429,15 +461,16 @@
             self.replaced_ns = self.counter_health.replaced_ns
             lost = lost or self.answered_ns < self.replaced_ns
         if now_ns - self.reset_ns > RESYNC_NS and self.reset_ns > self.answered_ns - RESYNC_NS:
-            self.expected_debt = 0.0  # whoever had something to tell again has told it: the rest is news
+            self.expected_debt = 0.0  # all limiters have reported again what was lost: the rest is new
         if lost and self.total is not None and self.total_window == window:
             self.recover_lost_total(now_ns, total - added, self.total)
         elif self.total is None or self.total_window != window:
-            # What is missing from the store by this limiter's own account, but for what it tells just now.
-            debt = max(0.0, self.burst - room - max(0.0, question.local_units))
+            # What is missing from the balance by this limiter's own account, without what this call reports.
+            debt = max(0.0, self.burst - balance - max(0.0, call.local_units))
             known, self.expected_debt = self.total is not None, 0.0
             if known and (not self.others_knew or total <= added + self.early_units + ROUNDING_UNITS):
-                # The first to call that knows it hands it on, or each window would grant a burst anew.
+                # The first to call that knew the customer before carries the debt over; otherwise each window
+                # would grant a new burst.
                 self.unreported += debt
                 self.carried_over += debt
             elif known and self.total_window + 1 == window:
@@ -459,50 +492,60 @@
             self.balance, self.withheld_refill = min(self.burst, self.balance + self.withheld_refill), 0.0
         others = total - (self.total or 0.0) - added
         self.total, self.own_units = total, self.own_units + added
-        # Guards against taking twice what this limiter knew of when the window began.
-        again = min(self.expected_debt, max(0.0, others))
-        self.expected_debt -= again
-        others -= again
-        # Guards against believing a customer seldom seen here to be spent: others took the spilled first.
+        # The balance already lacks what this limiter knew of when the window began.
+        already_counted = min(self.expected_debt, max(0.0, others))
+        self.expected_debt -= already_counted
+        others -= already_counted
+        # Others used the overflow first.  Without it, a customer that this limiter sees only now and then
+        # would seem to have exhausted its quota.
         self.spend(now_ns, max(0.0, others - self.overflow) if others > 0 else others)
         self.overflow = 0.0
 
-    def recover_lost_total(self, now_ns: int, stands: float, knew: float) -> None:
-        """A count that lost units in the middle of its window: each limiter tells its own share again.
-
-        ``stands`` is what others are seen to have in it, ``knew`` the total that this limiter knew: what is
-        seen to be missing is told.  What others tell again was taken from the room before (``expected``).  On
-        another side of a split counter nothing is told: it never owed this limiter's part.  What others spent
-        since this limiter heard last is nowhere to be read: they are taken to have spent their slices."""
-        missing = min(1.0, max(0.0, 1.0 - stands / knew)) if knew > 0 else 1.0
-        apart = self.quota_share < 1.0 or self.split_healed
-        again = 0.0 if apart else missing * max(0.0, self.own_units)
-        self.unreported += again
-        self.carried_over += again
+    def recover_lost_total(self, now_ns: int, remaining: float, known_total: float) -> None:
+        """A total has lost units in the middle of its window: each limiter reports its own part again.
+
+        ``remaining`` is what the total still holds of others, ``known_total`` the last one that this limiter
+        read; the missing part is reported.  What others report again was taken from the balance before
+        (``expected_debt``).  On another side of a split counter nothing is reported, because that side never
+        held this limiter's part.  What others spent since this limiter's last answer cannot be read anywhere:
+        they are assumed to have spent their slices.
+        """
+        missing = min(1.0, max(0.0, 1.0 - remaining / known_total)) if known_total > 0 else 1.0
+        other_side = self.quota_share < 1.0 or self.split_healed
+        report_again = 0.0 if other_side else missing * max(0.0, self.own_units)
+        self.unreported += report_again
+        self.carried_over += report_again
         unseen = (
-            0.0 if apart else self.rate * (1 - 1 / self.set_size) * (now_ns - self.answered_ns) / SECOND_NS
+            0.0
+            if other_side
+            else self.rate * (1 - 1 / self.set_size) * (now_ns - self.answered_ns) / SECOND_NS
         )
         unseen = min(unseen, max(0.0, self.refill(now_ns)))
         self.spend(now_ns, unseen)
-        self.expected_debt = max(0.0, stands) if apart else max(0.0, knew - self.own_units) + unseen
+        self.expected_debt = (
+            max(0.0, remaining) if other_side else max(0.0, known_total - self.own_units) + unseen
+        )
         self.total = self.own_units = self.early_units = 0.0
         self.reset_ns = now_ns
 
-    def rescale(self, now_ns: int, part: float) -> None:
-        """Keep to this side's part of rate and burst, or go back to the whole.
+    def rescale(self, now_ns: int, quota_share: float) -> None:
+        """Keep to this side's share of rate and burst, or return to the whole.
 
-        What is in the store is divided when a side shrinks.  When it grows again nothing is added: what the
-        others had left is theirs until it has refilled, so that coming back is no second burst."""
-        room, change = self.refill(now_ns), part / self.quota_share
+        When a side shrinks the balance is divided.  When it grows again nothing is added: what the others had
+        left stays theirs until it has refilled, so that a healed split grants no second burst.
+        """
+        balance, change = self.refill(now_ns), quota_share / self.quota_share
         self.rate, self.burst = self.rate * change, self.burst * change
         if change < 1:
-            self.balance = min(room, self.burst) if room < 0 else room * change
-        self.split_healed, self.quota_share = change > 1, part
+            self.balance = min(balance, self.burst) if balance < 0 else balance * change
+        self.split_healed, self.quota_share = change > 1, quota_share
 
     def cap_slice(self, now_ns: int) -> None:
-        """When the counter falls silent the slice is all: it holds no more than its part of the room then.
+        """Cut the slice to its share of the balance once the counter has fallen silent.
 
-        Guards against a slice that stood full while grants spent what all slices share."""
+        From then on only the slice decides.  It could be full although grants by the counter have spent what
+        all slices share.
+        """
         if self.counter_health is None or self.slice_capped_ns == self.counter_health.first_miss_ns:
             return
         self.slice_capped_ns = self.counter_health.first_miss_ns
@@ -510,7 +553,7 @@
         self.bucket.stored_permits = min(self.bucket.stored_permits, share)
 
     def imbalance(self) -> float:
-        """How far the books are from balanced, in units: 0 but for rounding."""
+        """How far the account is from balanced, in units: 0 but for rounding."""
         return (
             self.reported + self.unreported + self.in_flight - self.charged - self.carried_over - self.expired
         )
