--- a/tests/counter_model.py
+++ b/tests/counter_model.py
@@ -1,7 +1,7 @@
-"""Limiters and a counter that fails in every way it can, in simulated time, beside one exact store.
+"""Limiters and a counter that fails in every way it can, in simulated time, beside one exact token bucket.
 
-The measure is the envelope: over no stretch of time may a customer's units pass ``burst + rate * time`` by
-more than a bound.  The store of a gateway that lends without limit shows it: it never goes below minus that.
+The measure is the overrun: in no stretch of time may a customer's units exceed ``burst + rate * time`` by
+more than a bound.  The exact bucket may go into debt without limit; its lowest balance is the overrun.
 """
 
 from __future__ import annotations
@@ -23,30 +23,35 @@
 
 
 @dataclass
-class Counter:
-    """Totals by side; ``mode`` is what becomes of a call: well, swallowed, lost, late, busy."""
+class FaultyCounter:
+    """A counter whose totals can split, reset and return to a snapshot, and whose calls can fail.
 
-    chance: random.Random
+    ``fault_rates`` gives the share of calls that fail by kind of fault: "dropped" (neither added nor
+    answered), "unanswered" (added, no answer), "late" (added, answered after the time-out) and "busy"
+    (rejected).
+    """
+
+    rng: random.Random
     sides: list[dict[int, tuple[float, int]]] = field(default_factory=lambda: [{}])
     side_of: Callable[[int], int] = lambda limiter: 0
-    mode: dict[str, float] = field(default_factory=dict)  # chances; the rest is well
-    kept: dict[int, tuple[float, int]] = field(default_factory=dict)
+    fault_rates: dict[str, float] = field(default_factory=dict)  # the other calls succeed
+    snapshot: dict[int, tuple[float, int]] = field(default_factory=dict)
 
     def add(self, limiter: int, call: api.Count, now_ns: int) -> float:
         totals = self.sides[self.side_of(limiter)]
-        total, ends_ns = totals.get(call.key, (0.0, 0))
-        if ends_ns <= now_ns:
-            total, ends_ns = 0.0, now_ns + call.lifetime_ns
-        totals[call.key] = (total + call.amount, ends_ns)
+        total, expires_ns = totals.get(call.key, (0.0, 0))
+        if expires_ns <= now_ns:
+            total, expires_ns = 0.0, now_ns + call.lifetime_ns
+        totals[call.key] = (total + call.amount, expires_ns)
         return float(f"{total + call.amount:.7g}")
 
-    def fate(self) -> str:
-        drawn = self.chance.random()
-        for mode, share in self.mode.items():
+    def draw_fault(self) -> str:
+        drawn = self.rng.random()
+        for fault, share in self.fault_rates.items():
             if drawn < share:
-                return mode
+                return fault
             drawn -= share
-        return "well"
+        return "none"
 
     def split(self) -> None:
         self.sides, self.side_of = [self.sides[0], dict(self.sides[0])], lambda limiter: limiter % 2
@@ -57,15 +62,15 @@
     def replace(self) -> None:
         self.sides[0] = {}
 
-    def keep(self) -> None:
-        self.kept = dict(self.sides[0])
+    def save(self) -> None:
+        self.snapshot = dict(self.sides[0])
 
     def restore(self) -> None:
-        self.sides[0] = dict(self.kept)
+        self.sides[0] = dict(self.snapshot)
 
 
-class World:
-    """``limiters`` modules, one customer, and requests of one unit that shift between the limiters."""
+class QuotaSimulation:
+    """A group of limiters and one customer, whose requests of one unit shift between the limiters."""
 
     def __init__(
         self,
@@ -73,44 +78,53 @@
         limiters: int,
         plan: tuple[float, float],
         usage: float,
-        may_tell: bool = True,
+        may_message_peers: bool = True,
         skew_ns: int = 0,
     ) -> None:
-        self.chance, self.limiters, self.plan, self.usage = random.Random(seed), limiters, plan, usage
+        self.rng, self.limiters, self.plan, self.usage = random.Random(seed), limiters, plan, usage
         quota = replace(SETTINGS.plans[0], rate=plan[0], burst=plan[1])
         self.settings = replace(
             SETTINGS, limiters=limiters, plans=(quota,), counter_timeout_ns=TIMEOUT_NS, largest_units=1,
-            may_message_peers=may_tell,
+            may_message_peers=may_message_peers,
         )  # fmt: skip
         self.now_ns, self.restarts = START, 0
-        self.skew_ns = skew_ns  # by which the clocks of odd limiters are ahead
-        self.counter = Counter(self.chance)
-        self.benches = [self.fresh(n) for n in range(limiters)]
-        self.pending: list[tuple[int, Bench, api.Counted]] = []
-        self.waiting: list[tuple[Bench, int]] = []
-        self.weights, self.shift_ns = [1.0] * limiters, START
-        self.store, self.store_ns, self.lowest = plan[1], START, 0.0
-        self.next_ns, self.asked, self.sent, self.refused, self.calls, self.steps = START, 0, 0, 0, 0, 0
-
-    def fresh(self, index: int) -> Bench:
+        self.skew_ns = skew_ns  # clocks of limiters with an odd index are ahead by this
+        self.counter = FaultyCounter(self.rng)
+        self.benches = [self.new_bench(n) for n in range(limiters)]
+        self.pending_answers: list[tuple[int, Bench, api.Counted]] = []
+        self.open_requests: list[tuple[Bench, int]] = []
+        self.weights, self.next_shift_ns = [1.0] * limiters, START
+        self.balance, self.balance_ns, self.min_balance = plan[1], START, 0.0
+        self.next_request_ns, self.requests, self.sent, self.refused, self.calls, self.steps = (
+            START,
+            0,
+            0,
+            0,
+            0,
+            0,
+        )
+
+    def new_bench(self, index: int) -> Bench:
         self.restarts += 1
         bench = Bench(replace(self.settings, index=index), seed=1000 * self.restarts + index)
         bench.now_ns = self.now_ns + self.skew_ns * (index % 2)
         return bench
 
     def restart(self, index: int) -> None:
-        """A limiter dies with all it knows, and its successor begins at once."""
-        gone = self.benches[index]
-        self.benches[index] = self.fresh(index)
-        self.pending = [item for item in self.pending if item[1] is not gone]
-        self.waiting = [item for item in self.waiting if item[0] is not gone]
+        """A limiter loses all its state, and its successor starts at once."""
+        stopped = self.benches[index]
+        self.benches[index] = self.new_bench(index)
+        self.pending_answers = [item for item in self.pending_answers if item[1] is not stopped]
+        self.open_requests = [item for item in self.open_requests if item[0] is not stopped]
 
     def bound(self, state: CounterState) -> float:
         return bound_units(state, *self.plan, float(self.limiters), 1.0, REPORT_SHARE, TIMEOUT_NS)
 
-    def allowed(self, state: CounterState, since_ns: int) -> float:
-        """Units beyond the quota after one change at ``since_ns``, as ``bound_units`` states it: with what
-        each window may hide that has begun since, and what the one before had hidden already."""
+    def allowed_overrun(self, state: CounterState, since_ns: int) -> float:
+        """Units beyond the quota that ``bound_units`` allows after one change of state at ``since_ns``.
+
+        Each window that has begun since adds what may go unreported in it, and so does the one before it.
+        """
         window_ns = WINDOW_BURSTS * self.plan[1] / self.plan[0] * SECOND
         windows = 1 + max(0, math.ceil((self.now_ns - since_ns) / window_ns) - 1)
         return self.bound(state) + windows * self.bound(CounterState.HEALTHY)
@@ -118,90 +132,94 @@
     def run(self, seconds: float) -> None:
         end_ns = self.now_ns + round(seconds * SECOND)
         while self.now_ns < end_ns:
-            self.now_ns = min(end_ns, self.next_ns, self.now_ns + STEP_NS)
-            self.settle()
-            if self.now_ns >= self.next_ns:
-                self.next_ns += max(1, round(self.chance.expovariate(self.usage * self.plan[0]) * SECOND))
-                self.ask()
-                self.settle()
+            self.now_ns = min(end_ns, self.next_request_ns, self.now_ns + STEP_NS)
+            self.process_due()
+            if self.now_ns >= self.next_request_ns:
+                self.next_request_ns += max(
+                    1, round(self.rng.expovariate(self.usage * self.plan[0]) * SECOND)
+                )
+                self.send_request()
+                self.process_due()
 
     def flap(self, limiter: int, flap_s: float, seconds: float) -> None:
-        """A counter in two halves, and one limiter that goes to and fro between them; then it heals."""
-        second = set(range(-(-self.limiters // 2), self.limiters))
+        """Split the counter in two halves and move one limiter to and fro between them; then heal it."""
+        second_half = set(range(-(-self.limiters // 2), self.limiters))
         self.counter.split()
-        self.counter.side_of = lambda index: int(index in second)
+        self.counter.side_of = lambda index: int(index in second_half)
         for _ in range(round(seconds / flap_s)):
             self.run(flap_s)
-            second ^= {limiter}
+            second_half ^= {limiter}
         self.counter.heal()
 
-    def begin(self) -> None:
-        """Measure from now on: what limiters owe for a start from nothing is not the trouble's."""
+    def start_measuring(self) -> None:
+        """Measure from now on: an overrun of the limiters' start is not caused by the fault."""
         accounts = [(bench.limiter.accounts.get(1), bench.now_ns) for bench in self.benches]
         known = [self.plan[1] if account is None else account.refill(now) for account, now in accounts]
-        self.store, self.store_ns, self.lowest = max(self.store, min(known)), self.now_ns, 0.0
-
-    def ask(self) -> None:
-        if self.now_ns > self.shift_ns:
-            self.weights = [self.chance.random() ** 2 + 0.02 for _ in self.benches]
-            self.shift_ns = self.now_ns + round(self.chance.uniform(3, 8) * SECOND)
-        bench = self.chance.choices(self.benches, self.weights)[0]
-        self.asked += 1
-        self.waiting.append((bench, bench.request(set_size=float(self.limiters))))
-
-    def settle(self) -> None:
-        """Everything that is due by now: answers, timers, calls, words; then what was sent on or refused."""
+        self.balance, self.balance_ns, self.min_balance = max(self.balance, min(known)), self.now_ns, 0.0
+
+    def send_request(self) -> None:
+        if self.now_ns > self.next_shift_ns:
+            self.weights = [self.rng.random() ** 2 + 0.02 for _ in self.benches]
+            self.next_shift_ns = self.now_ns + round(self.rng.uniform(3, 8) * SECOND)
+        bench = self.rng.choices(self.benches, self.weights)[0]
+        self.requests += 1
+        self.open_requests.append((bench, bench.request(set_size=float(self.limiters))))
+
+    def process_due(self) -> None:
+        """Process what is due: answers, timers, calls and datagrams; then count sent and refused requests."""
         for index, bench in enumerate(self.benches):
             bench.advance(self.now_ns + self.skew_ns * (index % 2) - bench.now_ns)
             for _ in bench.peer_messages:
                 for other, peer in enumerate(self.benches):
-                    if other != index and self.chance.random() < 0.95:
+                    if other != index and self.rng.random() < 0.95:
                         peer.handle(api.PeerMessage(index, bench.peer_messages[0].payload))
             bench.peer_messages.clear()
-        due = [item for item in self.pending if item[0] <= self.now_ns]
-        self.pending = [item for item in self.pending if item[0] > self.now_ns]
+        due = [item for item in self.pending_answers if item[0] <= self.now_ns]
+        self.pending_answers = [item for item in self.pending_answers if item[0] > self.now_ns]
         for _, bench, event in due:
             bench.handle(event)
         for index, bench in enumerate(self.benches):
             while calls := bench.heartbeats or bench.pending_calls:
-                self.call(index, bench, calls.pop(0))
+                self.answer_call(index, bench, calls.pop(0))
             for account in bench.limiter.accounts.values():
-                assert abs(account.imbalance()) < 1e-6, "the books do not balance"
+                assert abs(account.imbalance()) < 1e-6, "an account is out of balance"
         self.steps += 1
-        still = []
-        for bench, request_id in self.waiting:
+        unfinished = []
+        for bench, request_id in self.open_requests:
             if bench.was_sent(request_id):
                 if (request_id, 0) in bench.limiter.in_flight:
                     bench.end_attempt(request_id)
-                self.take()
+                self.record_sent()
             elif request_id in bench.final_answers:
                 self.refused += 1
             else:
-                still.append((bench, request_id))
-        self.waiting = still
+                unfinished.append((bench, request_id))
+        self.open_requests = unfinished
 
-    def take(self) -> None:
-        self.store = min(self.plan[1], self.store + self.plan[0] * (self.now_ns - self.store_ns) / SECOND) - 1
-        self.store_ns, self.sent = self.now_ns, self.sent + 1
-        self.lowest = min(self.lowest, self.store)
+    def record_sent(self) -> None:
+        self.balance = (
+            min(self.plan[1], self.balance + self.plan[0] * (self.now_ns - self.balance_ns) / SECOND) - 1
+        )
+        self.balance_ns, self.sent = self.now_ns, self.sent + 1
+        self.min_balance = min(self.min_balance, self.balance)
 
-    def call(self, index: int, bench: Bench, call: api.Count) -> None:
+    def answer_call(self, index: int, bench: Bench, call: api.Count) -> None:
         self.calls += 1
-        fate = self.counter.fate()
+        fault = self.counter.draw_fault()
 
-        def ends(outcome: api.Outcome, total: float = 0.0) -> api.Counted:
+        def result(outcome: api.Outcome, total: float = 0.0) -> api.Counted:
             return api.Counted(call.key, outcome, total, TIMEOUT_NS, call.call_id)
 
-        if fate == "busy":
-            return void(bench.handle(ends(api.Outcome.FULL)))
-        total = 0.0 if fate == "swallowed" else self.counter.add(index, call, self.now_ns)
-        if fate == "well":
-            return void(bench.handle(ends(api.Outcome.OK, total)))
-        self.pending.append((self.now_ns + TIMEOUT_NS, bench, ends(api.Outcome.TIMEOUT)))
-        if fate == "late":
-            late_ns = self.now_ns + round(TIMEOUT_NS * self.chance.uniform(1.01, 4))
-            self.pending.append((late_ns, bench, ends(api.Outcome.OK, total)))
+        if fault == "busy":
+            return discard(bench.handle(result(api.Outcome.FULL)))
+        total = 0.0 if fault == "dropped" else self.counter.add(index, call, self.now_ns)
+        if fault == "none":
+            return discard(bench.handle(result(api.Outcome.OK, total)))
+        self.pending_answers.append((self.now_ns + TIMEOUT_NS, bench, result(api.Outcome.TIMEOUT)))
+        if fault == "late":
+            late_ns = self.now_ns + round(TIMEOUT_NS * self.rng.uniform(1.01, 4))
+            self.pending_answers.append((late_ns, bench, result(api.Outcome.OK, total)))
 
 
-def void(_: object) -> None:
-    """For calls whose actions were taken note of already."""
+def discard(_: object) -> None:
+    """For calls whose actions the bench has recorded already."""
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -8,7 +8,7 @@
 from aniseshed.account import SmoothBursty
 
 
-def spend_the_slice(bench: Bench) -> None:
+def spend_slice(bench: Bench) -> None:
     """Take what one of two limiters holds, with the counter answering."""
     for _ in range(11):
         bench.request()
@@ -69,7 +69,7 @@
 
 def test_the_counter_passes_what_the_slice_cannot_and_takes_nothing_from_it() -> None:
     bench = Bench()
-    spend_the_slice(bench)
+    spend_slice(bench)
     ticket = bench.limiter.accounts[1].bucket.next_free_ticket_ns
     asked = bench.request()
     assert bench.counter_calls[-1].amount >= 1 and not bench.was_sent(asked)
@@ -80,7 +80,7 @@
 
 def test_units_are_taken_back_when_the_total_does_not_fit() -> None:
     bench = Bench()
-    spend_the_slice(bench)
+    spend_slice(bench)
     bench.advance(20 * MS)
     bench.answer_all_calls()
     asked = bench.request()
@@ -109,7 +109,7 @@
 
 def test_an_unanswered_question_ends_in_holding_or_refusal() -> None:
     bench = Bench()
-    spend_the_slice(bench)
+    spend_slice(bench)
     bench.advance(20 * MS)
     asked = bench.request()
     while bench.pending_calls:
--- a/tests/test_sequence_digits.py
+++ b/tests/test_sequence_digits.py
@@ -14,10 +14,10 @@
 from aniseshed.sequence_digits import MAX_DIGITS, SequenceDigits, assign_digit
 
 QUOTA, NO_CEILING = (10.0, 20.0), (0.0, 0.0)
-LONG_NS = 10**12
+LONG_UPTIME_NS = 10**12
 
 
-def account(position: int = 0, size: float = 2.0, lived_ns: int = LONG_NS) -> Account:
+def new_account(position: int = 0, size: float = 2.0, lived_ns: int = LONG_UPTIME_NS) -> Account:
     return Account.create(START, 1, size, QUOTA, NO_CEILING, (position, 2), lived_ns)
 
 
@@ -94,7 +94,7 @@
     assert outside and outside.weight == 0.0 and outside.decode(4.0) == (4.0, None)
 
 
-class Count:
+class SimulatedTotal:
     """A count that can swallow calls."""
 
     def __init__(self) -> None:
@@ -106,7 +106,7 @@
 
 
 def test_a_swallowed_call_is_told_again_with_the_next_one() -> None:
-    count, one = Count(), account()
+    count, one = SimulatedTotal(), new_account()
     one.charge(START, 3.0)
     swallowed = one.start_call(START, -1, 0.0, 1)
     one.on_timeout(START, swallowed)
@@ -119,7 +119,7 @@
 
 
 def test_a_call_that_was_added_and_not_answered_is_not_told_twice() -> None:
-    count, one = Count(), account()
+    count, one = SimulatedTotal(), new_account()
     one.charge(START, 3.0)
     added = one.start_call(START, 7, 2.0, 1)  # two units asked for, which nobody is granted
     count.add(added)
@@ -134,7 +134,7 @@
 
 
 def test_a_late_answer_ends_the_doubt_and_grants_nothing() -> None:
-    count, one = Count(), account()
+    count, one = SimulatedTotal(), new_account()
     one.charge(START, 1.0)
     call = one.start_call(START, 7, 2.0, 1)
     one.on_timeout(START, call)
@@ -148,7 +148,7 @@
 
 
 def test_what_was_told_again_and_comes_late_after_all_is_taken_back() -> None:
-    count, one = Count(), account()
+    count, one = SimulatedTotal(), new_account()
     one.charge(START, 3.0)
     slow = one.start_call(START, -1, 0.0, 1)
     one.on_timeout(START, slow)
@@ -164,7 +164,7 @@
 
 def test_a_mark_that_is_gone_tells_of_a_count_that_was_lost() -> None:
     """Others have filled a fresh count beyond the old total: only the mark shows that it is another."""
-    count, one = Count(), account()
+    count, one = SimulatedTotal(), new_account()
     one.charge(START, 4.0)
     first = one.start_call(START, -1, 0.0, 1)
     one.on_answer(START, first, count.add(first))
@@ -176,11 +176,11 @@
 
 
 def test_a_restarted_limiter_reads_the_mark_that_it_left_behind() -> None:
-    count, one = Count(), account()
+    count, one = SimulatedTotal(), new_account()
     one.charge(START, 4.0)
     first = one.start_call(START, -1, 0.0, 1)
     one.on_answer(START, first, count.add(first))
-    again = account(lived_ns=0)
+    again = new_account(lived_ns=0)
     assert again.digit is None
     call = again.start_call(START, -1, 0.0, 1)
     assert call.digit_amount == 0.0
