--- a/tests/test_exhausted_quotas.py
+++ b/tests/test_exhausted_quotas.py
@@ -1,4 +1,4 @@
-"""Word between limiters of customers that the counter has just refused."""
+"""Messages between limiters about customers whose quota the counter has found exhausted."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def request_answered(bench: Bench, total: float | None = None, **request: object) -> int:
-    """One request, its calls answered: with ``total``, or as if nobody else spent."""
+    """Make one request and answer its counter calls with ``total``, or as if nobody else had spent."""
     request_id = bench.request(**{"set_size": 150.0, "plan": PREMIUM, **request})  # type: ignore[arg-type]
     while bench.pending_calls:
         bench.answer_call(bench.pending_calls[0].amount if total is None else total)
@@ -37,7 +37,7 @@
 
 
 def without_calls(settings: api.Settings = FLEET_WITH_MESSAGES) -> Bench:
-    """A limiter that has none of its calls left."""
+    """A limiter that has used up the counter calls it had saved."""
     bench = Bench(settings, servers=LIMITERS)
     for n in range(10):
         request_answered(bench, customer=10_000 + n)
@@ -48,7 +48,8 @@
     return [tell.payload for tell in bench.peer_messages if tell.payload.startswith(MESSAGE_TYPE)]
 
 
-def test_who_was_refused_by_the_counter_is_told_of_once_while_it_holds() -> None:
+def test_an_exhausted_quota_is_announced_once_while_the_message_holds() -> None:
+    """Each refusal would otherwise send a datagram to every limiter."""
     bench = Bench(FLEET_WITH_MESSAGES, servers=LIMITERS)
     bench.advance(10 * SECOND)
     refused = request_answered(bench, 500.0, customer=7)
@@ -57,13 +58,14 @@
         tell.peer is None for tell in bench.peer_messages
     )
     request_answered(bench, 500.0, customer=7)
-    assert exhausted_messages(bench) == [message(7)], "all have heard it"
+    assert exhausted_messages(bench) == [message(7)], "all limiters know it"
     bench.advance(10 * SECOND)
     request_answered(bench, 900.0, customer=7)
     assert exhausted_messages(bench) == [message(7)] * 2
 
 
-def test_what_another_told_is_not_told_again() -> None:
+def test_what_another_limiter_announced_is_not_announced_again() -> None:
+    """In a large group every limiter would send its own message about the same customer."""
     bench = Bench(FLEET_WITH_MESSAGES, servers=LIMITERS)
     bench.advance(60 * SECOND)
     bench.handle(api.PeerMessage(3, message(7)))
@@ -71,7 +73,8 @@
     assert not exhausted_messages(bench)
 
 
-def test_nothing_is_told_where_datagrams_are_not_allowed() -> None:
+def test_nothing_is_announced_where_datagrams_are_not_allowed() -> None:
+    """Limiters may be configured to exchange no datagrams."""
     bench = Bench(FLEET, servers=LIMITERS)
     bench.advance(10 * SECOND)
     assert not bench.was_sent(request_answered(bench, 500.0, customer=7))
@@ -79,34 +82,34 @@
 
 
 @pytest.mark.parametrize(
-    ("plan", "set_size", "told"), [(BASIC, 8.0, 0), (PREMIUM, 12.0, 0), (BASIC, 12.0, 1)]
+    ("plan", "set_size", "messages"), [(BASIC, 8.0, 0), (PREMIUM, 12.0, 0), (BASIC, 12.0, 1)]
 )
-def test_only_large_sets_whose_slices_hold_less_than_the_request_are_told(
-    plan: int, set_size: float, told: int
+def test_quotas_are_announced_only_for_large_sets_with_slices_smaller_than_the_request(
+    plan: int, set_size: float, messages: int
 ) -> None:
+    """Elsewhere the slices keep the quota by themselves and a message would only refuse more."""
     bench = Bench(FLEET_WITH_MESSAGES, servers=LIMITERS)
     bench.advance(60 * SECOND)
     request_answered(bench, customer=7, plan=plan, set_size=set_size)
-    bench.limiter.accounts[7].bucket.reserve(40.0)  # others of its requests took the slice ahead
-    asked = bench.request(customer=7, plan=plan, set_size=set_size)
-    assert bench.pending_calls and not bench.was_sent(asked)
+    bench.limiter.accounts[7].bucket.reserve(40.0)  # earlier requests used the slice up in advance
+    request_id = bench.request(customer=7, plan=plan, set_size=set_size)
+    assert bench.pending_calls and not bench.was_sent(request_id)
     while bench.pending_calls:
         bench.answer_call(500.0)
-    assert asked in bench.final_answers and len(exhausted_messages(bench)) == told
+    assert request_id in bench.final_answers and len(exhausted_messages(bench)) == messages
 
 
-def test_who_hears_leaves_the_customer_to_the_counter_until_the_word_ends() -> None:
+def test_after_a_message_only_the_counter_grants_until_the_message_expires() -> None:
+    """Without a free counter call a limiter would let the customer in by its own slice."""
     bench = without_calls()
     bench.handle(api.PeerMessage(3, message(7)))
     refused, other = request_answered(bench, customer=7), request_answered(bench, customer=8)
     final = bench.final_answers[refused]
     assert isinstance(final, api.Refuse) and 0 < final.retry_after_ns <= MESSAGE_LIFETIME_NS
-    assert bench.was_sent(other), "nobody told of this one"
+    assert bench.was_sent(other), "there was no message about this customer"
     calls = len(bench.counter_calls)
     bench.advance(SECOND)
-    assert bench.was_sent(request_answered(bench, customer=7)), (
-        "a call is free again, and the counter grants it"
-    )
+    assert bench.was_sent(request_answered(bench, customer=7)), "a call is available again"
     assert len(bench.counter_calls) > calls
     late = without_calls()
     late.handle(api.PeerMessage(3, message(7)))
@@ -116,13 +119,15 @@
     assert late.was_sent(request_answered(late, customer=7))
 
 
-def test_a_slice_that_holds_the_request_is_the_customers_own() -> None:
+def test_a_message_does_not_apply_to_a_slice_that_holds_the_request() -> None:
+    """Such a slice keeps its part of the quota without the counter."""
     bench = without_calls()
     bench.handle(api.PeerMessage(3, message(7)))
     assert bench.was_sent(request_answered(bench, customer=7, set_size=2.0))
 
 
-def test_while_the_counter_is_silent_the_slice_alone_decides() -> None:
+def test_while_the_counter_is_silent_only_the_slice_decides() -> None:
+    """Left to a counter that does not answer, the customer would be refused everywhere."""
     bench = without_calls()
     bench.handle(api.PeerMessage(3, message(7)))
     bench.limiter.weather.first_miss_ns = bench.now_ns - SECOND
@@ -130,22 +135,26 @@
     assert bench.was_sent(request_answered(bench, customer=7))
 
 
-def test_the_plan_that_loses_most_is_told_of_first() -> None:
-    spent = ExhaustedQuotas(SmoothBursty(START, 0.1, MESSAGE_BURST, 1.0))
-    assert spent.on_refused(START, 1, 0.04) is None, "the cheapest wait until all words are saved"
-    assert spent.on_refused(START, 2, 1.0) == message(2)
-    assert spent.on_refused(START, 3, 1.0) is None, "one in ten seconds"
-    assert spent.on_refused(START + 40 * SECOND, 1, 0.04) == message(1)
+def test_the_plan_that_loses_most_is_announced_first() -> None:
+    """Messages are limited in rate; those about cheap plans must not use up the saved ones."""
+    exhausted = ExhaustedQuotas(SmoothBursty(START, 0.1, MESSAGE_BURST, 1.0))
+    assert exhausted.on_refused(START, 1, 0.04) is None, (
+        "the cheapest plan waits until all messages are saved up"
+    )
+    assert exhausted.on_refused(START, 2, 1.0) == message(2)
+    assert exhausted.on_refused(START, 3, 1.0) is None, "one message in ten seconds"
+    assert exhausted.on_refused(START + 40 * SECOND, 1, 0.04) == message(1)
 
 
-def test_noise_is_passed_over_and_what_is_known_stays_bounded() -> None:
-    spent = ExhaustedQuotas(SmoothBursty(START, 0.1, MESSAGE_BURST, 1.0))
+def test_malformed_messages_are_ignored_and_the_memory_is_bounded() -> None:
+    """Datagrams come from the network: they must neither fail nor grow the table without limit."""
+    exhausted = ExhaustedQuotas(SmoothBursty(START, 0.1, MESSAGE_BURST, 1.0))
     for payload in (b"", b"S", b"S1234", b"S123456", b"here!!", bytes(6), message(7)[::-1]):
-        spent.on_message(START, payload)
-    assert not spent.expires_ns
+        exhausted.on_message(START, payload)
+    assert not exhausted.expires_ns
     for customer in range(MAX_REMEMBERED_CUSTOMERS + 100):
-        spent.on_message(START, message(customer))
-    assert len(spent.expires_ns) == MAX_REMEMBERED_CUSTOMERS and spent.remaining_ns(START, 0) == 0
+        exhausted.on_message(START, message(customer))
+    assert len(exhausted.expires_ns) == MAX_REMEMBERED_CUSTOMERS and exhausted.remaining_ns(START, 0) == 0
     for n in range(MAX_REMEMBERED_CUSTOMERS):
-        spent.on_message(START + MESSAGE_LIFETIME_NS + n, message(MAX_REMEMBERED_CUSTOMERS + 100 + n % 2))
-    assert len(spent.expires_ns) <= 3
+        exhausted.on_message(START + MESSAGE_LIFETIME_NS + n, message(MAX_REMEMBERED_CUSTOMERS + 100 + n % 2))
+    assert len(exhausted.expires_ns) <= 3
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""The bucket by the source's worked examples, and the counter's ways to fail."""
+"""The token bucket by worked examples of SmoothBursty, and quotas when the counter fails."""
 
 from dataclasses import replace
 
@@ -9,31 +9,36 @@
 
 
 def spend_slice(bench: Bench) -> None:
-    """Take what one of two limiters holds, with the counter answering."""
+    """Use up the slice of one of two limiters while the counter answers."""
     for _ in range(11):
         bench.request()
     bench.answer_all_calls()
 
 
-def test_the_sources_two_threads() -> None:
-    # Two permits a second, none stored at ...748: thread 1 takes 2 at ...248 and does not wait.
-    base = 1553918495748
-    bucket = SmoothBursty(base * MS, 2.0, 2.0, 0.0)
-    now = (base + 500) * MS
-    bucket.resync(now)
-    assert bucket.reserve(2) == now
+def test_a_shortfall_is_paid_by_the_next_caller() -> None:
+    """A published example of SmoothBursty with two threads.
+
+    Two permits per second, none stored at ...748: thread 1 takes 2 at ...248 and does not wait.
+    """
+    base_ms = 1553918495748
+    bucket = SmoothBursty(base_ms * MS, 2.0, 2.0, 0.0)
+    now_ns = (base_ms + 500) * MS
+    bucket.resync(now_ns)
+    assert bucket.reserve(2) == now_ns
     assert bucket.next_free_ticket_ns == 1553918496748 * MS
-    bucket.resync(now)
-    assert bucket.reserve(2) == 1553918496748 * MS  # thread 2 waits for what thread 1 took ahead
+    bucket.resync(now_ns)
+    assert bucket.reserve(2) == 1553918496748 * MS  # thread 2 waits for what thread 1 took in advance
     assert bucket.next_free_ticket_ns == 1553918497748 * MS
 
 
-def test_a_steady_taker_gets_one_ticket_an_interval() -> None:
+def test_a_steady_caller_gets_one_ticket_per_interval() -> None:
+    """Tickets must be spaced by the rate once no permits are stored."""
     bucket = SmoothBursty(0, 5.0, 5.0, 0.0)
     assert [bucket.reserve(1) for _ in range(4)] == [n * SECOND // 5 for n in range(4)]
 
 
-def test_stored_permits_are_clamped_and_go_first() -> None:
+def test_stored_permits_are_bounded_and_used_first() -> None:
+    """After a long pause only a burst is stored; the rest of a larger request is taken in advance."""
     bucket = SmoothBursty(0, 2.0, 3.0, 0.0)
     bucket.resync(60 * SECOND)
     assert bucket.stored_permits == 3
@@ -41,23 +46,26 @@
     assert bucket.next_free_ticket_ns == 61 * SECOND
 
 
-def test_unseen_customer_starts_with_a_full_slice() -> None:
+def test_a_customer_not_seen_before_starts_with_a_full_slice() -> None:
+    """A restarted limiter would otherwise refuse all customers at first."""
     bench = Bench(replace(SETTINGS, has_counter=False))
-    rids = [bench.request(units=2.0) for _ in range(7)]
-    assert [bench.was_sent(r) for r in rids] == [True] * 6 + [False]  # the sixth is taken ahead
+    request_ids = [bench.request(units=2.0) for _ in range(7)]
+    assert [bench.was_sent(r) for r in request_ids] == [True] * 6 + [False]  # the sixth is taken in advance
 
 
-def test_beyond_the_slice_waits_for_its_ticket_without_a_counter() -> None:
+def test_without_a_counter_a_request_beyond_the_slice_waits_for_its_ticket() -> None:
+    """It is sent late, neither at once nor never."""
     bench = Bench(replace(SETTINGS, has_counter=False))
     for _ in range(11):
         bench.request()
-    held = bench.request()
-    assert not bench.was_sent(held) and held not in bench.final_answers
+    waiting_id = bench.request()
+    assert not bench.was_sent(waiting_id) and waiting_id not in bench.final_answers
     bench.advance(250 * MS)
-    assert bench.was_sent(held)
+    assert bench.was_sent(waiting_id)
 
 
-def test_refused_at_once_with_the_wait_when_the_aim_does_not_allow_it() -> None:
+def test_a_wait_longer_than_the_latency_target_allows_is_refused_at_once() -> None:
+    """The refusal says how long to wait; holding the request would only answer it too late."""
     bench = Bench(replace(SETTINGS, has_counter=False))
     bench.request(units=4.0)
     for _ in range(4):
@@ -67,33 +75,36 @@
     assert isinstance(final, api.Refuse) and final.retry_after_ns > 0
 
 
-def test_the_counter_passes_what_the_slice_cannot_and_takes_nothing_from_it() -> None:
+def test_the_counter_grants_what_the_slice_cannot_and_takes_nothing_from_it() -> None:
+    """Charged to the slice as well, a granted request would be paid twice."""
     bench = Bench()
     spend_slice(bench)
     ticket = bench.limiter.accounts[1].bucket.next_free_ticket_ns
-    asked = bench.request()
-    assert bench.counter_calls[-1].amount >= 1 and not bench.was_sent(asked)
+    request_id = bench.request()
+    assert bench.counter_calls[-1].amount >= 1 and not bench.was_sent(request_id)
     bench.answer_call(sum(c.amount for c in bench.counter_calls))
-    assert bench.was_sent(asked)
+    assert bench.was_sent(request_id)
     assert bench.limiter.accounts[1].bucket.next_free_ticket_ns == ticket
 
 
-def test_units_are_taken_back_when_the_total_does_not_fit() -> None:
+def test_units_are_taken_back_when_the_total_exceeds_the_quota() -> None:
+    """Units asked for and not granted would otherwise stay in the total."""
     bench = Bench()
     spend_slice(bench)
     bench.advance(20 * MS)
     bench.answer_all_calls()
-    asked = bench.request()
+    request_id = bench.request()
     bench.answer_call(500.0)
     assert bench.counter_calls[-1].amount == -1.0
-    assert not bench.was_sent(asked)
+    assert not bench.was_sent(request_id)
 
 
-def test_a_silent_counter_leaves_the_slice_alone_and_is_not_pestered() -> None:
+def test_a_silent_counter_leaves_the_slice_usable_and_gets_few_calls() -> None:
+    """Calls at full rate would keep an overloaded counter from recovering."""
     bench = Bench()
     for _ in range(11):
         bench.request()
-    held = bench.request()
+    waiting_id = bench.request()
     calls = []
     for _ in range(20):
         while bench.pending_calls:
@@ -104,44 +115,47 @@
         bench.advance(50 * MS)
         calls.append(len(bench.counter_calls) - before)
     assert max(calls[5:]) <= 4
-    assert bench.was_sent(held)
+    assert bench.was_sent(waiting_id)
 
 
-def test_an_unanswered_question_ends_in_holding_or_refusal() -> None:
+def test_a_request_whose_counter_call_times_out_is_sent_or_refused() -> None:
+    """It must not stay open without an answer."""
     bench = Bench()
     spend_slice(bench)
     bench.advance(20 * MS)
-    asked = bench.request()
+    request_id = bench.request()
     while bench.pending_calls:
         bench.answer_call(0.0, api.Outcome.TIMEOUT)
     bench.advance(SECOND)
-    assert bench.was_sent(asked) or asked in bench.final_answers
+    assert bench.was_sent(request_id) or request_id in bench.final_answers
 
 
-def test_a_full_counter_added_nothing_so_local_spends_are_told_again() -> None:
+def test_local_units_of_a_rejected_call_are_reported_again() -> None:
+    """A counter that rejects a call has added nothing, so the units would be lost."""
     bench = Bench()
     for _ in range(6):
         bench.request()
-    told = bench.counter_calls[0].amount
+    reported = bench.counter_calls[0].amount
     bench.answer_call(0.0, api.Outcome.FULL)
-    assert bench.limiter.accounts[1].unreported >= told
+    assert bench.limiter.accounts[1].unreported >= reported
 
 
-def test_a_forgetful_counter_is_a_new_life_not_a_refund() -> None:
+def test_a_reset_total_is_not_taken_for_a_refund() -> None:
+    """Taken for one, a counter that lost its totals would grant a second burst."""
     bench = Bench()
     for _ in range(8):
         bench.request()
     bench.answer_all_calls()
-    room = bench.limiter.accounts[1].balance
-    told = len(bench.counter_calls)
-    while len(bench.counter_calls) == told:
+    balance = bench.limiter.accounts[1].balance
+    calls = len(bench.counter_calls)
+    while len(bench.counter_calls) == calls:
         bench.request()
-    bench.answer_call(bench.counter_calls[-1].amount)  # all that went before is forgotten
-    assert bench.limiter.accounts[1].balance < room
+    bench.answer_call(bench.counter_calls[-1].amount)  # without anything added before
+    assert bench.limiter.accounts[1].balance < balance
 
 
-def test_a_customer_seen_seldom_here_is_not_believed_spent() -> None:
-    # Others spent at under the rate for seconds: the store is full, whatever the sum of it.
+def test_a_customer_seldom_seen_here_does_not_seem_exhausted() -> None:
+    """Others spent less than the rate for seconds, so the balance is full however large the total is."""
     bench = Bench()
     for _ in range(3):
         bench.request()
@@ -153,7 +167,8 @@
     assert bench.limiter.accounts[1].balance > 10
 
 
-def test_idle_customers_age_out() -> None:
+def test_accounts_of_idle_customers_are_dropped() -> None:
+    """Otherwise memory grows with every customer ever seen."""
     bench = Bench(replace(SETTINGS, has_counter=False))
     bench.end_attempt(bench.request(customer=1))
     bench.advance(200 * SECOND)
@@ -162,29 +177,33 @@
 
 
 def test_settled_units_adjust_the_bucket() -> None:
+    """The difference to the units charged at first must be charged when the usage is known."""
     bench = Bench(replace(SETTINGS, has_counter=False, settles_usage=True))
-    rid = bench.request(units=2.0)
-    bench.end_attempt(rid, settled_units=6)
+    request_id = bench.request(units=2.0)
+    bench.end_attempt(request_id, settled_units=6)
     assert abs(bench.limiter.accounts[1].bucket.stored_permits - 4.0) < 1e-6
 
 
-def test_each_limiter_keeps_to_its_part_of_a_ceiling() -> None:
+def test_each_limiter_keeps_to_its_share_of_a_ceiling() -> None:
+    """Limiters share no state for the ceiling, so each could allow all of it."""
     plan = replace(SETTINGS.plans[0], ceiling_rate=10.0, ceiling_burst=20.0)
     bench = Bench(replace(SETTINGS, plans=(plan,), has_counter=False))
     first = bench.request()
-    assert isinstance(bench.final_answers[first], api.Refuse)  # a start does not know what was spent
+    assert isinstance(bench.final_answers[first], api.Refuse)  # after a start it is unknown what was spent
     bench.advance(2 * SECOND)
     sent = sum(bench.was_sent(bench.request()) for _ in range(30))
     assert sent <= 10
 
 
-def test_a_cap_on_attempts_out_is_kept_in_parts() -> None:
+def test_each_limiter_keeps_to_its_share_of_the_attempts_in_flight() -> None:
+    """Limiters do not know each other's attempts, so each could allow the whole number."""
     plan = replace(SETTINGS.plans[0], max_in_flight=4)
     bench = Bench(replace(SETTINGS, plans=(plan,)))
     assert [bench.was_sent(bench.request()) for _ in range(3)] == [True, True, False]
 
 
-def test_a_late_repeat_is_refused_without_spending() -> None:
+def test_a_late_retry_is_refused_at_once() -> None:
+    """Its deadline leaves too little time, so a server's work for it would be wasted."""
     bench = Bench()
     bench.request()
     late = bench.request(is_retry=True, timeout_ns=SECOND)
