--- a/aniseshed/account.py
+++ b/aniseshed/account.py
@@ -66,8 +66,8 @@
 
     def resync(self, now_ns: int) -> None:
         if now_ns > self.next_free_ticket_ns:
-            fresh = (now_ns - self.next_free_ticket_ns) / self.stable_interval_ns
-            self.stored_permits = min(self.max_permits, self.stored_permits + fresh)
+            new_permits = (now_ns - self.next_free_ticket_ns) / self.stable_interval_ns
+            self.stored_permits = min(self.max_permits, self.stored_permits + new_permits)
             self.next_free_ticket_ns = now_ns
 
     def reserve(self, permits: float) -> int:
@@ -156,9 +156,7 @@
     own_units: float = 0.0  # what this limiter has added to the total since it last began at zero
     total_window: int = 0  # window of the last answer
     call_window: int = 0  # window of the last call
-    expected_debt: float = (
-        0.0  # debt that another carries over in this window; the balance contains it already
-    )
+    expected_debt: float = 0.0  # part of the balance's debt that another carries over in this window
     unreported: float = 0.0
     counter_health: CounterHealth | None = None  # shared by all accounts of a limiter
     silence_ns: int = 0  # the counter's total silence at the last refill
--- a/aniseshed/partition.py
+++ b/aniseshed/partition.py
@@ -161,25 +161,25 @@
         A limiter that returns counts as away until the side that it left must have missed it; otherwise two
         sides would both count on its share.  One that has just started sends datagrams before its digit can
         have moved, so it is running only after it has sent them for a while.  One that sends no datagrams
-        either has stopped, unless it was away before or two are gone at once: a split may cut off the
+        either has stopped, unless it was away before or two are absent at once: a split may cut off the
         datagrams too.
         """
         wait_ns, away = ABSENT_HEARTBEATS * HEARTBEAT_INTERVAL_NS, list[int]()
         # Counted in reads, not in time: while the counter was silent to this limiter it saw no digit move.
-        gone = [
+        absent = [
             o
             for o in self.group
             if o != self.index and self.reads - self.last_moved.get(o, 0) > ABSENT_HEARTBEATS
         ]
-        vanished = sum(o in self.last_moved for o in gone)  # without those never seen, as after a start
+        vanished = sum(o in self.last_moved for o in absent)  # without those never seen, as after a start
         for other in self.group:
             message_ns, resumed_ns = self.message_ns.get(other, -math.inf), self.resumed_ns.get(other, now_ns)
             running = not self.has_peer_messages or (now_ns - message_ns <= wait_ns <= now_ns - resumed_ns)
-            cut_off = other in gone and (running or other in self.split or vanished > 1)
+            cut_off = other in absent and (running or other in self.split or vanished > 1)
             if other != self.index and (cut_off or now_ns < self.read_only_until_ns):
                 self.last_missed[other] = self.reads
             if self.reads - self.last_missed.get(other, -math.inf) <= (
-                RETURN_HEARTBEATS if gone else HEALED_HEARTBEATS
+                RETURN_HEARTBEATS if absent else HEALED_HEARTBEATS
             ):
                 away.append(other)
         self.split = frozenset(away)
--- a/tests/test_counter_lost.py
+++ b/tests/test_counter_lost.py
@@ -185,8 +185,8 @@
     simulation.run(1.0)
     simulation.restart(0)
     simulation.run(2.0)
-    believed = simulation.benches[0].limiter.accounts[1].refill(simulation.now_ns)
-    assert believed < 0.6 * PREMIUM[1]
+    balance = simulation.benches[0].limiter.accounts[1].refill(simulation.now_ns)
+    assert balance < 0.6 * PREMIUM[1]
 
 
 def test_a_silent_counter_leaves_each_slice_its_share_of_the_balance() -> None:
