--- a/aniseshed/bound.py
+++ b/aniseshed/bound.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from aniseshed.account import REPORT_SHARE
-from aniseshed.counter_health import SILENT_WAITS, CounterHealth, CounterState
+from aniseshed.counter_health import SILENT_TIMEOUTS, CounterHealth, CounterState
 from aniseshed.interface import Settings
-from aniseshed.partition import ABSENT_BEATS, BEAT_NS, SECOND_NS
+from aniseshed.partition import ABSENT_HEARTBEATS, HEARTBEAT_INTERVAL_NS, SECOND_NS
 
 
 def bounds(settings: Settings, limiters: int, counter_health: CounterHealth) -> tuple[float, ...]:
@@ -50,11 +50,14 @@
         # whole balance. When the counter is back, a burst may be assumed that another limiter has spent but
         # not reported yet.
         return (
-            unreported + set_size * largest_units + rate * (SILENT_WAITS + 1) * timeout_ns / SECOND_NS + burst
+            unreported
+            + set_size * largest_units
+            + rate * (SILENT_TIMEOUTS + 1) * timeout_ns / SECOND_NS
+            + burst
         )
     if state is CounterState.SPLIT:
         # Both sides spend the same balance until the heartbeats show the split; then each keeps to its share.
-        return unreported + burst + rate * (ABSENT_BEATS + 1) * BEAT_NS / SECOND_NS
+        return unreported + burst + rate * (ABSENT_HEARTBEATS + 1) * HEARTBEAT_INTERVAL_NS / SECOND_NS
     if state is CounterState.REPLACED:
         # Includes what the lost count contained and a limiter did not know.
         return 2 * unreported + set_size * largest_units
--- a/aniseshed/policy.py
+++ b/aniseshed/policy.py
@@ -13,13 +13,20 @@
 from collections.abc import Callable
 
 from aniseshed import interface as api
-from aniseshed.account import CALLS_SAVED, Account, CallPacer, SmoothBursty
+from aniseshed.account import CALL_BURST, Account, CallPacer, SmoothBursty
 from aniseshed.bound import bounds
 from aniseshed.counter_call import CallStatus, CounterCall
 from aniseshed.counter_health import CounterHealth
-from aniseshed.exhausted_quotas import TOLD_A_SECOND, WORDS_SAVED, ExhaustedQuotas
+from aniseshed.exhausted_quotas import MESSAGE_BURST, MESSAGES_PER_SECOND, ExhaustedQuotas
 from aniseshed.interface import DedupScope, Health, Idempotency, ListKind, Outcome, RequestMode, Trust
-from aniseshed.partition import BEAT_NS, EPOCH_NS, GROUP, SECOND_NS, Heartbeat, PartitionDetector
+from aniseshed.partition import (
+    EPOCH_NS,
+    GROUP_SIZE,
+    HEARTBEAT_INTERVAL_NS,
+    SECOND_NS,
+    Heartbeat,
+    PartitionDetector,
+)
 from aniseshed.sequence_digits import assign_digit
 from aniseshed.state import Attempt, PendingRequest, Server, TimeAverage, apply_server_list
 
@@ -78,7 +85,7 @@
             settings.index, self.limiters, 0, settings.may_message_peers
         )
         self.exhausted_quotas = ExhaustedQuotas(
-            SmoothBursty(0, TOLD_A_SECOND / self.limiters, WORDS_SAVED, 1.0)
+            SmoothBursty(0, MESSAGES_PER_SECOND / self.limiters, MESSAGE_BURST, 1.0)
         )
         self.call_pacer = CallPacer(self.limiters, settings.counter_timeout_ns)
         self.unit_latency_ns = [0.0] * len(settings.classes)  # running mean per unit, by class
@@ -100,7 +107,7 @@
         if self.start_ns < 0:
             self.start_ns = self.partition_detector.start_ns = self.counter_health.since_ns = now_ns
             if self.settings.has_counter and self.limiters > 1:
-                self.set_timer(self.random.random() * BEAT_NS, self.on_heartbeat, True)
+                self.set_timer(self.random.random() * HEARTBEAT_INTERVAL_NS, self.on_heartbeat, True)
         if handler := self.handlers.get(type(event)):
             handler(event)
         return self.actions
@@ -197,7 +204,7 @@
         may_call = (
             has_time
             and not insufficient
-            and self.may_call_counter(1 + (CALLS_SAVED - 1) * (1 - pending.value_rank))
+            and self.may_call_counter(1 + (CALL_BURST - 1) * (1 - pending.value_rank))
         )
         # In a large set a slice may be smaller than one request. Then all limiters together could overdraw
         # their slices at once, so the counter decides, or the notice of another limiter that the quota is
@@ -224,7 +231,7 @@
         if account is None:
             now_ns, size = self.now_ns, min(max(1.0, request.set_size), self.limiters)
             quota, ceiling = (plan.rate, plan.burst), (plan.ceiling_rate, plan.ceiling_burst)
-            self.partition_detector.enabled = self.partition_detector.enabled or size <= GROUP
+            self.partition_detector.enabled = self.partition_detector.enabled or size <= GROUP_SIZE
             digit = assign_digit(self.settings.index, self.limiters, round(size))
             account = Account.create(
                 now_ns,
@@ -270,7 +277,7 @@
         account, pending.charged_units, pending.charged_to_slice = pending.account, pending.units, True
         account.bucket.reserve(pending.units)
         account.charge(self.now_ns, pending.units)
-        if account.is_report_due() and self.may_call_counter(CALLS_SAVED / 2):
+        if account.is_report_due() and self.may_call_counter(CALL_BURST / 2):
             self.call_counter(account, -1, 0.0)
 
     def refund(self, pending: PendingRequest) -> None:
@@ -281,7 +288,7 @@
 
     def on_heartbeat(self) -> None:
         """Send the heartbeats to the counter and to the peers, and update the state of the counter."""
-        self.set_timer(BEAT_NS, self.on_heartbeat, True)
+        self.set_timer(HEARTBEAT_INTERVAL_NS, self.on_heartbeat, True)
         # While the counter is silent, the heartbeat probes whether it has recovered.
         if self.partition_detector.enabled or self.counter_health.is_silent(self.now_ns):
             heartbeat = self.partition_detector.next_heartbeat(self.now_ns)
@@ -362,7 +369,11 @@
             pending.plan.rate * pending.plan.price / max(p.rate * p.price for p in self.settings.plans)
         )
         account = pending.account
-        if account.set_size <= GROUP or account.bucket.max_permits >= pending.units or account.balance >= 1:
+        if (
+            account.set_size <= GROUP_SIZE
+            or account.bucket.max_permits >= pending.units
+            or account.balance >= 1
+        ):
             return
         if payload := self.exhausted_quotas.on_refused(self.now_ns, account.name, value_rank):
             self.actions.append(api.Tell(None, payload))
