--- a/hookport/rehearsal/judgement.py
+++ b/hookport/rehearsal/judgement.py
@@ -1,4 +1,4 @@
-"""What came of an evening: the breaches, whether the run counts, the score; as JSON and back to words."""
+"""The judgement of a run: the breaches, whether the run is valid, and the score; can be written as JSON."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 @dataclass(slots=True)
 class Judgement:
-    """The same history always gives the same judgement."""
+    """The result of judging one history; the same history always gives the same judgement."""
 
     plan: plans.Plan
     head: history.Row
     rows: list[history.Row]
     breaches: list[referee.Breach]
-    void: str  # why the run does not count; empty if it does
+    void: str  # why the run is invalid; empty if it is valid
     score: Score
 
     @property
     def broken(self) -> list[str]:
-        """The names of the rules that were broken."""
+        """The names of the broken rules, in the order of RULES."""
         return sorted({breach.rule for breach in self.breaches}, key=referee.RULES.index)
 
     @property
@@ -37,7 +37,7 @@
         return "broken" if self.breaches else "kept"
 
     def to_dict(self) -> dict[str, Any]:
-        """As plain values, for JSON."""
+        """Return built-in types, for JSON."""
         return {
             "title": self.plan.title,
             "seed": self.head["seed"],
@@ -57,23 +57,23 @@
 
 
 def judge(head: history.Row, rows: list[history.Row], file: str = "the history") -> Judgement:
-    """Judge a history; raises PlanError if its head holds no plan that can be played."""
+    """Judge a history; raises PlanError if its head holds no valid plan."""
     plan = plans.build(head["plan"], f"{file}: line 1: plan")
     breaches = referee.judge(plan, rows)
     return Judgement(plan, head, rows, breaches, referee.void_reason(plan, rows), score(plan, rows))
 
 
 def judge_file(path: Path | str) -> Judgement:
-    """Judge a kept history; raises HistoryError or PlanError with the place and what would do."""
+    """Judge a saved history; raises HistoryError or PlanError with the place and the remedy."""
     head, rows = history.read(path)
     try:
         return judge(head, rows, str(path))
     except (KeyError, IndexError, TypeError) as error:
         raise history.HistoryError(
-            f"{path}: its lines do not belong together ({type(error).__name__}: {error}): "
-            "take the file as it was written"
+            f"{path}: its lines are inconsistent ({type(error).__name__}: {error}): "
+            "use the file as it was written"
         ) from error
 
 
-def dump(told: object) -> bytes:
-    return msgspec.json.format(msgspec.json.encode(told), indent=2) + b"\n"
+def dump(value: object) -> bytes:
+    return msgspec.json.format(msgspec.json.encode(value), indent=2) + b"\n"
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""Kept histories: a good one is read back, a broken one is one line with its place."""
+"""Saved histories: a valid file is read back, a damaged one gives a one-line error with its place."""
 
 import json
 from pathlib import Path
@@ -33,58 +33,58 @@
 
 
 GOOD = text(LINES)
-BROKEN = [
+DAMAGED = [
     (b"", "line 1: the file is empty"),
     (b"\n", "line 1: not JSON"),
     (b"\x00\xff\n", "line 1: not JSON"),
-    (b"[]\n", "line 1: not an object"),
+    (b"[]\n", "line 1: not a JSON object"),
     (GOOD[:-10], "line 5: not JSON"),
     (text(LINES[:-1]), "line 5: the end is missing"),
     (text(LINES[:1]), "line 2: the end is missing"),
     (GOOD[: GOOD.index(b'"how"')], "the file was cut off here"),
-    (text([*LINES[:2], *LINES[3:]]), "line 4: lines: 3 are announced, 2 are there"),
-    (text([*LINES, LINES[1]]), "line 5: more follows behind the end"),
-    (GOOD + GOOD, "more follows behind the end"),
+    (text([*LINES[:2], *LINES[3:]]), "line 4: lines: the end announces 3 lines, the file has 2;"),
+    (text([*LINES, LINES[1]]), "line 5: data after the end"),
+    (GOOD + GOOD, "data after the end"),
     (text(LINES[1:]), "line 1: e: a history begins with its head, not with 'due'"),
-    (changed(0, form=2), "line 1: form: 2 is not known"),
-    (changed(0, seed="1"), "line 1: seed: is missing from the head, or no whole number"),
-    (without(0, "plan"), "line 1: plan: is missing"),
+    (changed(0, form=2), "line 1: form: unknown version 2;"),
+    (changed(0, seed="1"), "line 1: seed: missing from the head or not a whole number"),
+    (without(0, "plan"), "line 1: plan: missing from the head"),
     (changed(0, plan={}), "line 1: plan: title: is missing"),
     (changed(0, plan={**PLAN, "length_s": -1}), "line 1: plan: length_s: Expected `float` >= 2"),
-    (changed(1, e="do"), "line 2: e: 'do' is no kind of line"),
-    (without(1, "e"), "line 2: e: None is no kind of line"),
-    (changed(1, t="5"), "line 2: t: '5' is no time"),
-    (changed(1, t=True), "line 2: t: True is no time"),
-    (changed(1, n="0"), "line 2: n: '0' is not what a line of kind due has there"),
-    (without(1, "cu"), "line 2: cu: is missing from a line of kind due"),
-    (changed(1, late=None), "line 2: late: None is not"),
-    (changed(1, u=True), "line 2: u: True is not"),
-    (without(2, "id"), "line 3: id: is missing"),
-    (changed(2, d=1.5), "line 3: d: 1.5 is not"),
-    (changed(3, how=None), "line 4: how: None is not"),
-    (changed(1, q=17), "its lines do not belong together"),
-    (changed(1, c=-9), "its lines do not belong together"),
+    (changed(1, e="do"), "line 2: e: 'do' is not a kind of line"),
+    (without(1, "e"), "line 2: e: None is not a kind of line"),
+    (changed(1, t="5"), "line 2: t: '5' is not a time"),
+    (changed(1, t=True), "line 2: t: True is not a time"),
+    (changed(1, n="0"), "line 2: n: '0' has the wrong type for a line of kind due"),
+    (without(1, "cu"), "line 2: cu: missing from a line of kind due"),
+    (changed(1, late=None), "line 2: late: None has the wrong type"),
+    (changed(1, u=True), "line 2: u: True has the wrong type"),
+    (without(2, "id"), "line 3: id: missing"),
+    (changed(2, d=1.5), "line 3: d: 1.5 has the wrong type"),
+    (changed(3, how=None), "line 4: how: None has the wrong type"),
+    (changed(1, q=17), "its lines are inconsistent"),
+    (changed(1, c=-9), "its lines are inconsistent"),
 ]
 
 
-@pytest.mark.parametrize(("content", "told"), BROKEN)
-def test_a_broken_history_is_one_line_with_its_place(
-    content: bytes, told: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+@pytest.mark.parametrize(("content", "message"), DAMAGED)
+def test_a_damaged_history_gives_one_error_line_with_its_place(
+    content: bytes, message: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "broken.jsonl"
     path.write_bytes(content)
     assert command.main(["judge", str(path)]) == 2
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == 1 and str(path) in lines[0] and told in lines[0]
+    assert len(lines) == 1 and str(path) in lines[0] and message in lines[0]
 
 
-def test_a_file_that_is_not_there_is_told(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_missing_history_file_is_reported(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     assert command.main(["judge", str(tmp_path / "no.jsonl")]) == 2
     assert "cannot be read: No such file" in capsys.readouterr().err
 
 
-def test_every_cut_of_a_history_is_noticed(tmp_path: Path) -> None:
-    """Cut at every byte of its second half: never judged as if it were whole."""
+def test_a_truncated_history_is_always_rejected(tmp_path: Path) -> None:
+    """A history cut off at any byte of its second half must never be judged as if it were complete."""
     path = tmp_path / "cut.jsonl"
     for size in range(len(GOOD) - 300, len(GOOD) - 1):
         path.write_bytes(GOOD[:size])
@@ -94,7 +94,7 @@
     assert len(history.read(path)[1]) == 3
 
 
-def test_parts_are_merged_by_time_and_moved_to_the_start(tmp_path: Path) -> None:
+def test_merge_sorts_parts_by_time_and_makes_times_relative_to_the_start(tmp_path: Path) -> None:
     for name, times in (("a", (150, 130)), ("b", (140, 120))):
         recorder = history.Recorder(tmp_path / name)
         for t in times:
