--- a/hookport/rehearsal/page.py
+++ b/hookport/rehearsal/page.py
@@ -8,7 +8,7 @@
 
 from hookport.rehearsal.history import Row
 from hookport.rehearsal.judgement import Judgement
-from hookport.rehearsal.score import OUTCOMES, curves
+from hookport.rehearsal.score import OUTCOMES, rate_series
 
 WIDTH, LEFT_MARGIN, RIGHT_MARGIN = 1100, 110, 20  # pixels
 CURVE_HEIGHT, LANE_HEIGHT = 220, 16
@@ -71,7 +71,7 @@
 
 
 def curve_chart(judgement: Judgement, chart: Chart, faults: Sequence[Row]) -> str:
-    lines = curves(judgement.plan, judgement.rows)
+    lines = rate_series(judgement.plan, judgement.rows)
     top = max(1.0, *lines["offered"])
     bottom = CURVE_HEIGHT - 20
 
