--- a/hookport/rehearsal/command.py
+++ b/hookport/rehearsal/command.py
@@ -28,7 +28,7 @@
 from hookport.rehearsal.play import DAEMON, PLAIN, RIVAL, Play, PlayError, Reaper
 
 RULES_KEPT, RULE_BROKEN, BAD_INPUT, VOID, INTERRUPTED = 0, 1, 2, 3, 130
-MIN_PARALLEL_CORES = 6  # with this many CPU cores the policies beside the daemon are played at the same time
+MIN_PARALLEL_CORES = 6  # from this many CPU cores on, the compared policies are played at the same time
 REFRESH_S = 0.25  # interval of the progress display
 
 
--- a/hookport/rehearsal/judgement.py
+++ b/hookport/rehearsal/judgement.py
@@ -32,6 +32,7 @@
 
     @property
     def verdict(self) -> str:
+        """One of ``void``, ``broken`` and ``kept``."""
         if self.void:
             return "void"
         return "broken" if self.breaches else "kept"
