--- a/hookport/emulator/renamed_constants.py
+++ b/hookport/emulator/renamed_constants.py
@@ -41,6 +41,39 @@
     "aniseshed.wire.CRASH_NOW": "aniseshed.wire.CRASH_RECORD",
     "aniseshed.wire.SNAPSHOT_ROWS": "aniseshed.wire.SERVER_LIST_RECORD",
     "aniseshed.wire.LIST_EVENT": "aniseshed.wire.LIST_CHANGED_RECORD",
+    "hookport.rehearsal.standins.server.FALL_SLACK": "hookport.rehearsal.standins.server.OVERLOAD_SLACK_JOBS",
+    "hookport.rehearsal.referee.FALL_SLACK": "hookport.rehearsal.referee.OVERLOAD_SLACK_JOBS",
+    "hookport.rehearsal.standins.counter.LONGEST_LIFE_MS": "hookport.rehearsal.standins.counter.MAX_TTL_MS",
+    "hookport.rehearsal.standins.counter.MOST_CONNECTIONS": (
+        "hookport.rehearsal.standins.counter.MAX_CONNECTIONS"
+    ),
+    "hookport.rehearsal.standins.counter.MOST_NAMES": (
+        "hookport.rehearsal.standins.counter.SWEEP_THRESHOLD_KEYS"
+    ),
+    "hookport.rehearsal.standins.counter.KEEP_EVERY_S": (
+        "hookport.rehearsal.standins.counter.SNAPSHOT_INTERVAL_S"
+    ),
+    "hookport.rehearsal.standins.counter.KEPT": "hookport.rehearsal.standins.counter.MAX_SNAPSHOTS",
+    "hookport.rehearsal.standins.discovery.BLANK_S": (
+        "hookport.rehearsal.standins.discovery.KEEPALIVE_INTERVAL_S"
+    ),
+    "hookport.rehearsal.standins.discovery.LONGEST_REQUEST": (
+        "hookport.rehearsal.standins.discovery.MAX_REQUEST_BYTES"
+    ),
+    "hookport.rehearsal.standins.discovery.KEPT_CHANGES": "hookport.rehearsal.standins.discovery.MAX_CHANGES",
+    "hookport.rehearsal.world.NEW_START_S": "hookport.rehearsal.world.REGISTRATION_DELAY_S",
+    "hookport.rehearsal.desks.CROSSING_S": "hookport.rehearsal.desks.CLOSE_RACE_S",
+    "hookport.rehearsal.desks.RUDE_WAIT_S": "hookport.rehearsal.desks.MALFORMED_REPLY_TIMEOUT_S",
+    "hookport.rehearsal.desks.IDLE_S": "hookport.rehearsal.desks.IDLE_TIMEOUT_S",
+    "hookport.rehearsal.scripted.PATIENCE_S": "hookport.rehearsal.scripted.TIMEOUT_S",
+    "hookport.rehearsal.plain.MARGIN_S": "hookport.rehearsal.plain.REPLY_MARGIN_S",
+    "hookport.rehearsal.plain.DRAIN_S": "hookport.rehearsal.plain.DRAIN_DELAY_S",
+    "hookport.rehearsal.rival.RETRY_SHARE": "hookport.rehearsal.rival.RETRY_TOKENS_PER_REQUEST",
+    "hookport.rehearsal.rival.RETRY_SAVED": "hookport.rehearsal.rival.MAX_RETRY_TOKENS",
+    "hookport.rehearsal.rival.OUT_S": "hookport.rehearsal.rival.EJECTION_S",
+    "hookport.rehearsal.rival.MOST_OUT": "hookport.rehearsal.rival.MAX_IN_FLIGHT_PER_SERVER",
+    "hookport.rehearsal.rival.CONNECT_S": "hookport.rehearsal.rival.CONNECT_TIMEOUT_S",
+    "hookport.rehearsal.standins.post.LARGEST": "hookport.rehearsal.standins.datagrams.MAX_DATAGRAM_BYTES",
 }
 
 
--- a/hookport/emulator/whole.py
+++ b/hookport/emulator/whole.py
@@ -111,8 +111,8 @@
         self.desks = Desks(plan, self.seed, self.recorder, places["fronts"])  # type: ignore[arg-type]
         self.digest = draw.digest(self.desks.arrivals)
         self.start_ns = Place.clock_ns() + round(LEAD_S * 1e9)
-        self.world.begin(self.start_ns)
-        self.desks.begin(self.start_ns)
+        self.world.schedule_faults(self.start_ns)
+        self.desks.start(self.start_ns)
         await self.last()
         await self.finish()
         return self.history()
@@ -124,7 +124,7 @@
         earliest_ns = self.start_ns + round((plan.length_s + AFTER_S) * 1e9)
         while (now_ns := Place.clock_ns()) < ends_ns:
             desks = self.desks
-            if now_ns > earliest_ns and not desks.first_ns and desks.next == len(desks.arrivals):
+            if now_ns > earliest_ns and not desks.open_due_ns and desks.next_arrival == len(desks.arrivals):
                 return
             progress = self.progress
             progress.stage, progress.passed_s = "playing", max(0.0, (now_ns - self.start_ns) / 1e9)
@@ -234,18 +234,18 @@
         else:
             self.note("kill", seat)
             self.network.kill(life)
-            self.desks.limiter(seat.number, False, seat.count, False)
+            self.desks.set_limiter_state(seat.number, False, seat.count, False)
         await asyncio.sleep(told["back_s"])
         agent = self.world.agents[seat.number]
         empty = self.plan.limiters.known == "none"
-        seat.told["known"] = NO_LIST if empty else agent.known(told=True)
+        seat.told["known"] = NO_LIST if empty else agent.known_list(notified=True)
         await self.launch(seat)
-        self.desks.limiter(seat.number, True, seat.count, True)
+        self.desks.set_limiter_state(seat.number, True, seat.count, True)
 
     async def end_in_time(self, seat: Seat, planned_s: float) -> None:
         assert seat.node and seat.life
         self.within(seat, seat.node.shut_down)
-        self.loop.call_later(planned_s, self.desks.limiter, seat.number, False, seat.count, True)
+        self.loop.call_later(planned_s, self.desks.set_limiter_state, seat.number, False, seat.count, True)
         try:
             async with asyncio.timeout(end_within_s(self.plan)):
                 await seat.done.wait()
--- a/hookport/rehearsal/desks.py
+++ b/hookport/rehearsal/desks.py
@@ -19,11 +19,11 @@
 from hookport.rehearsal.history import Recorder
 from hookport.rehearsal.loops import Lag, Orders, Place, work
 
-CROSSING_S = 0.1  # a close sooner than this after the request may have crossed it, unread
-RUDE_WAIT_S = 3.0
-IDLE_S = 8.0  # for which a client keeps a connection
+CLOSE_RACE_S = 0.1  # a close sooner than this after the request may have crossed it, unread
+MALFORMED_REPLY_TIMEOUT_S = 3.0
+IDLE_TIMEOUT_S = 8.0  # for which a client keeps a connection
 BODY = b"x" * 64
-RUDE = (
+MALFORMED_REQUESTS = (
     b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
     b"*4000000000\r\n",
     b"*-7\r\n",
@@ -38,50 +38,50 @@
 )
 
 
-class Try:
+class Attempt:
     """One try of a request, on its way."""
 
     __slots__ = (
-        "again", "arrival", "id", "limiter", "number", "over", "payload", "sent_s", "timer", "wait_ms",
+        "resent", "arrival", "id", "limiter", "number", "finished", "payload", "sent_s", "timer", "wait_ms",
     )  # fmt: skip
 
     def __init__(self, arrival: draw.Arrival, number: int, id: str, limiter: int, wait_ms: int) -> None:
         self.arrival, self.number, self.id, self.limiter, self.wait_ms = arrival, number, id, limiter, wait_ms
         self.payload = b""
         self.sent_s = 0.0
-        self.again = False  # sent once more after a close that crossed it
-        self.over = False
+        self.resent = False  # sent once more after a close that crossed it
+        self.finished = False
         self.timer: asyncio.TimerHandle | None = None
 
 
-class Link(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A client's connection to a limiter."""
 
     def __init__(self, desks: Desks, limiter: int) -> None:
-        self.desks, self.limiter, self.process = desks, limiter, desks.processes[limiter]
-        self.reader = hiredis.Reader()
-        self.current: Try | None = None
-        self.used = 0
-        self.idle_s = 0.0
+        self.desks, self.limiter, self.incarnation = desks, limiter, desks.incarnations[limiter]
+        self.parser = hiredis.Reader()
+        self.current: Attempt | None = None
+        self.sent_count = 0
+        self.idle_since_s = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        self.reader.feed(data)
+        self.parser.feed(data)
         try:
-            while (reply := self.reader.gets()) is not False:
+            while (reply := self.parser.gets()) is not False:
                 current, self.current = self.current, None
                 if current is None:
-                    self.desks.extra(self)
+                    self.desks.on_unexpected_reply(self)
                 else:
-                    self.desks.answered(self, current, reply)
+                    self.desks.on_reply(self, current, reply)
         except hiredis.ProtocolError:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         current, self.current = self.current, None
-        self.desks.lost(self, current)
+        self.desks.on_connection_lost(self, current)
 
 
 class Desks:
@@ -92,231 +92,256 @@
         self.note = recorder.note
         self.loop = asyncio.get_running_loop()
         self.arrivals = draw.arrivals(plan, seed)
-        self.next = 0
-        self.processes = [1] * plan.limiters.count  # which life of each limiter the clients reach
-        self.believed = [True] * plan.limiters.count  # what the front believes
-        self.idle: list[list[Link]] = [[] for _ in ports]
-        self.links: dict[Link, None] = {}  # in the order of their coming
-        self.first_ns: dict[int, int] = {}  # of open requests: when they were due
-        self.classes = [kind.name.encode() for kind in plan.classes]
-        self.quotas = [quota.name.encode() for quota in plan.plans]
+        self.next_arrival = 0
+        self.incarnations = [1] * plan.limiters.count  # which life of each limiter the clients reach
+        self.believed_up = [True] * plan.limiters.count  # what the front believes
+        self.idle_connections: list[list[ClientConnection]] = [[] for _ in ports]
+        self.connections: dict[ClientConnection, None] = {}  # in the order of their coming
+        self.open_due_ns: dict[int, int] = {}  # of open requests: when they were due
+        self.class_names = [traffic_class.name.encode() for traffic_class in plan.classes]
+        self.quota_names = [quota.name.encode() for quota in plan.plans]
         self.asked, self.served, self.refused = 0, 0, 0
         self.stopped = False
         self.tasks: set[asyncio.Task[None]] = set()
 
     # Arrivals
 
-    def begin(self, start_ns: int) -> None:
+    def start(self, start_ns: int) -> None:
         self.start_ns = start_ns
         # The loop's clock at the start.
-        self.shift_s = (start_ns - Place.clock_ns()) / 1e9 + self.loop.time()
-        self.turn()
+        self.start_s = (start_ns - Place.clock_ns()) / 1e9 + self.loop.time()
+        self.start_due_requests()
         for fault in self.plan.fault:
             if isinstance(fault, plans.Rude):
-                at_s = self.shift_s + (fault.at_s or 0.0)
+                at_s = self.start_s + (fault.at_s or 0.0)
                 for n in range(int(fault.for_s * fault.each_s)):
-                    self.loop.call_at(at_s + n / fault.each_s, self.rude, n)
+                    self.loop.call_at(at_s + n / fault.each_s, self.start_malformed_request, n)
 
-    def turn(self) -> None:
+    def start_due_requests(self) -> None:
         """Start all requests that are due, then wait for the next."""
         now_ns = Place.clock_ns() - self.start_ns
-        while self.next < len(self.arrivals) and not self.stopped:
-            arrival = self.arrivals[self.next]
+        while self.next_arrival < len(self.arrivals) and not self.stopped:
+            arrival = self.arrivals[self.next_arrival]
             if arrival.at_ns > now_ns:
-                self.loop.call_later(max(0.0, (arrival.at_ns - now_ns) / 1e9), self.turn)
+                self.loop.call_later(max(0.0, (arrival.at_ns - now_ns) / 1e9), self.start_due_requests)
                 return
-            self.next += 1
-            self.first_ns[arrival.number] = self.start_ns + arrival.at_ns
+            self.next_arrival += 1
+            self.open_due_ns[arrival.number] = self.start_ns + arrival.at_ns
             self.asked += 1
             self.note({"e": "due", "t": self.start_ns + arrival.at_ns, "n": arrival.number, "c": arrival.kind,
                        "q": arrival.quota, "u": arrival.units, "cu": arrival.customer,
                        "late": round((now_ns - arrival.at_ns) / 1e6, 2)})  # fmt: skip
-            self.try_(arrival, 0)
+            self.start_attempt(arrival, 0)
 
     # Tries
 
-    def pick(self, arrival: draw.Arrival, number: int) -> int:
+    def pick_limiter(self, arrival: draw.Arrival, number: int) -> int:
         """The front: one of the customer's set that it believes to live, or any of the set."""
         limiters = self.plan.limiters.count
         members = [(arrival.first + n) % limiters for n in range(arrival.spread)]
-        living = [n for n in members if self.believed[n]] or members
-        return living[int(draw.uniform(self.seed, "front", arrival.number, number) * len(living))]
-
-    def try_(self, arrival: draw.Arrival, number: int) -> None:
-        kind = self.plan.classes[arrival.kind]
-        passed_ms = (Place.clock_ns() - self.first_ns[arrival.number]) / 1e6
-        left_ms = kind.deadline_ms - passed_ms
-        wait_ms = int(min(left_ms, self.plan.clients.try_share * kind.deadline_ms))
+        candidates = [n for n in members if self.believed_up[n]] or members
+        return candidates[int(draw.uniform(self.seed, "front", arrival.number, number) * len(candidates))]
+
+    def start_attempt(self, arrival: draw.Arrival, number: int) -> None:
+        traffic_class = self.plan.classes[arrival.kind]
+        elapsed_ms = (Place.clock_ns() - self.open_due_ns[arrival.number]) / 1e6
+        remaining_ms = traffic_class.deadline_ms - elapsed_ms
+        wait_ms = int(min(remaining_ms, self.plan.clients.try_share * traffic_class.deadline_ms))
         if wait_ms < 2 or self.stopped:
-            self.first_ns.pop(arrival.number, None)
+            self.open_due_ns.pop(arrival.number, None)
             return
-        limiter = self.pick(arrival, number)
+        limiter = self.pick_limiter(arrival, number)
         id = draw.request_id(self.seed, arrival.number, number)
-        one = Try(arrival, number, id, limiter, wait_ms)
-        one.payload = self.words(one)
-        self.place(one)
+        attempt = Attempt(arrival, number, id, limiter, wait_ms)
+        attempt.payload = self.encode(attempt)
+        self.dispatch(attempt)
 
-    def words(self, one: Try) -> bytes:
-        arrival = one.arrival
+    def encode(self, attempt: Attempt) -> bytes:
+        arrival = attempt.arrival
         unsafe = self.plan.classes[arrival.kind].repeat != "safe"
-        listed = b"c=%s,t=%s,d=%d,units=%d,spread=%d,first=%d%s" % (
-            self.classes[arrival.kind], self.quotas[arrival.quota], one.wait_ms, arrival.units,
-            arrival.spread, arrival.first, b",r=1" if one.number and self.plan.clients.marks else b"",
+        fields = b"c=%s,t=%s,d=%d,units=%d,spread=%d,first=%d%s" % (
+            self.class_names[arrival.kind], self.quota_names[arrival.quota], attempt.wait_ms, arrival.units,
+            arrival.spread, arrival.first, b",r=1" if attempt.number and self.plan.clients.marks else b"",
         )  # fmt: skip
-        verb = b"SVC.SUBMIT" if unsafe else b"SVC.QUERY"
-        words = (verb, b"%016x" % arrival.customer, one.id.encode(), listed, *((BODY,) if unsafe else ()))
-        packed: bytes = hiredis.pack_command(words)  # type: ignore[no-untyped-call,unused-ignore]
+        command = b"SVC.SUBMIT" if unsafe else b"SVC.QUERY"
+        arguments = (
+            command,
+            b"%016x" % arrival.customer,
+            attempt.id.encode(),
+            fields,
+            *((BODY,) if unsafe else ()),
+        )
+        packed: bytes = hiredis.pack_command(arguments)  # type: ignore[no-untyped-call,unused-ignore]
         return packed
 
-    def place(self, one: Try) -> None:
-        idle = self.idle[one.limiter]
+    def dispatch(self, attempt: Attempt) -> None:
+        idle_connections = self.idle_connections[attempt.limiter]
         now_s = self.loop.time()
-        while idle and not one.again:
-            link = idle.pop()
-            if link.transport.is_closing():
+        while idle_connections and not attempt.resent:
+            connection = idle_connections.pop()
+            if connection.transport.is_closing():
                 continue
-            if now_s - link.idle_s > IDLE_S:
-                link.transport.close()
+            if now_s - connection.idle_since_s > IDLE_TIMEOUT_S:
+                connection.transport.close()
                 continue
-            return self.send(link, one)
-        task = self.loop.create_task(self.open(one))
+            return self.send(connection, attempt)
+        task = self.loop.create_task(self.connect(attempt))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def open(self, one: Try) -> None:
-        link = Link(self, one.limiter)
+    async def connect(self, attempt: Attempt) -> None:
+        connection = ClientConnection(self, attempt.limiter)
         try:
-            async with asyncio.timeout(one.wait_ms / 1000):
-                await self.loop.create_connection(lambda: link, Place.host, self.ports[one.limiter])
+            async with asyncio.timeout(attempt.wait_ms / 1000):
+                await self.loop.create_connection(lambda: connection, Place.host, self.ports[attempt.limiter])
         except (OSError, TimeoutError):
-            if one.again:  # what it was sent on first has closed unread, and nobody is there now
-                return self.ended(one, "closed")
-            return self.ended(one, "unsent")
-        self.links[link] = None
-        self.send(link, one)
-
-    def send(self, link: Link, one: Try) -> None:
-        link.current, link.used = one, link.used + 1
+            if attempt.resent:  # what it was sent on first has closed unread, and nobody is there now
+                return self.finish_attempt(attempt, "closed")
+            return self.finish_attempt(attempt, "unsent")
+        self.connections[connection] = None
+        self.send(connection, attempt)
+
+    def send(self, connection: ClientConnection, attempt: Attempt) -> None:
+        connection.current, connection.sent_count = attempt, connection.sent_count + 1
         dribble = self.plan.clients.dribble
-        if dribble and draw.uniform(self.seed, "dribble", one.id) < dribble:
-            third = len(one.payload) // 3
-            for n, part in enumerate((one.payload[:third], one.payload[third : 2 * third])):
-                self.loop.call_later(0.005 * n, self.piece, link, one, part, False)
-            self.loop.call_later(0.015, self.piece, link, one, one.payload[2 * third :], True)
+        if dribble and draw.uniform(self.seed, "dribble", attempt.id) < dribble:
+            third = len(attempt.payload) // 3
+            for n, data in enumerate((attempt.payload[:third], attempt.payload[third : 2 * third])):
+                self.loop.call_later(0.005 * n, self.write_part, connection, attempt, data, False)
+            self.loop.call_later(
+                0.015, self.write_part, connection, attempt, attempt.payload[2 * third :], True
+            )
         else:
-            self.piece(link, one, one.payload, True)
+            self.write_part(connection, attempt, attempt.payload, True)
 
-    def piece(self, link: Link, one: Try, part: bytes, last: bool) -> None:
-        if link.current is not one or link.transport.is_closing():
+    def write_part(self, connection: ClientConnection, attempt: Attempt, data: bytes, last: bool) -> None:
+        if connection.current is not attempt or connection.transport.is_closing():
             return
-        link.transport.write(part)
+        connection.transport.write(data)
         if not last:
             return
-        one.sent_s = self.loop.time()
-        self.note({"e": "ask", "t": Place.clock_ns(), "id": one.id, "n": one.arrival.number,
-                   "k": one.number, "l": one.limiter, "p": link.process, "d": one.wait_ms})  # fmt: skip
-        wait_s = (one.wait_ms + self.plan.judge.grace_ms + 10) / 1000
-        if one.timer:
-            one.timer.cancel()
-        one.timer = self.loop.call_later(wait_s, self.late, link, one)
-
-    def late(self, link: Link, one: Try) -> None:
-        link.current = None
-        self.ended(one, "timeout")
-        link.transport.abort()
-
-    def answered(self, link: Link, one: Try, reply: Any) -> None:
-        link.idle_s = self.loop.time()
-        if not link.transport.is_closing():
-            self.idle[link.limiter].append(link)
+        attempt.sent_s = self.loop.time()
+        self.note({"e": "ask", "t": Place.clock_ns(), "id": attempt.id, "n": attempt.arrival.number,
+                   "k": attempt.number, "l": attempt.limiter, "p": connection.incarnation,
+                   "d": attempt.wait_ms})  # fmt: skip
+        wait_s = (attempt.wait_ms + self.plan.judge.grace_ms + 10) / 1000
+        if attempt.timer:
+            attempt.timer.cancel()
+        attempt.timer = self.loop.call_later(wait_s, self.on_timeout, connection, attempt)
+
+    def on_timeout(self, connection: ClientConnection, attempt: Attempt) -> None:
+        connection.current = None
+        self.finish_attempt(attempt, "timeout")
+        connection.transport.abort()
+
+    def on_reply(self, connection: ClientConnection, attempt: Attempt, reply: Any) -> None:
+        connection.idle_since_s = self.loop.time()
+        if not connection.transport.is_closing():
+            self.idle_connections[connection.limiter].append(connection)
         if isinstance(reply, list) and reply:
             reply = reply[0]
         if isinstance(reply, bytes):
-            return self.ended(one, "value", value=reply.decode("utf-8", "replace")[:200])
+            return self.finish_attempt(attempt, "value", value=reply.decode("utf-8", "replace")[:200])
         text = str(reply) if isinstance(reply, hiredis.ReplyError) else ""
-        word, _, advice = text.partition(" ")
-        if word == "BUSY":
-            return self.ended(one, "busy", advice_ms=int(advice) if advice.isdigit() else 0)
-        self.ended(one, "error")
-
-    def lost(self, link: Link, one: Try | None) -> None:
-        self.links.pop(link, None)
-        if link in self.idle[link.limiter]:
-            self.idle[link.limiter].remove(link)
-        if one is None or one.over:
+        code, _, retry_after = text.partition(" ")
+        if code == "BUSY":
+            return self.finish_attempt(
+                attempt, "busy", retry_after_ms=int(retry_after) if retry_after.isdigit() else 0
+            )
+        self.finish_attempt(attempt, "error")
+
+    def on_connection_lost(self, connection: ClientConnection, attempt: Attempt | None) -> None:
+        self.connections.pop(connection, None)
+        if connection in self.idle_connections[connection.limiter]:
+            self.idle_connections[connection.limiter].remove(connection)
+        if attempt is None or attempt.finished:
             return
-        soon = self.loop.time() - one.sent_s < CROSSING_S if one.sent_s else True
-        same = link.process == self.processes[link.limiter]
-        if one.timer:
-            one.timer.cancel()
-        if link.used > 1 and soon and same and not one.again and not link.reader.has_data():
-            one.again = True  # the limiter may close between requests; if that crosses one, it goes once more
-            return self.place(one)
-        self.ended(one, "closed" if one.sent_s else "unsent")
-
-    def extra(self, link: Link) -> None:
+        may_have_crossed = self.loop.time() - attempt.sent_s < CLOSE_RACE_S if attempt.sent_s else True
+        same_incarnation = connection.incarnation == self.incarnations[connection.limiter]
+        if attempt.timer:
+            attempt.timer.cancel()
+        if (
+            connection.sent_count > 1
+            and may_have_crossed
+            and same_incarnation
+            and not attempt.resent
+            and not connection.parser.has_data()
+        ):
+            attempt.resent = (
+                True  # the limiter may close between requests; if that crosses one, it goes once more
+            )
+            return self.dispatch(attempt)
+        self.finish_attempt(attempt, "closed" if attempt.sent_s else "unsent")
+
+    def on_unexpected_reply(self, connection: ClientConnection) -> None:
         """A message that answers nothing; an error line ahead of a close, between requests, is none."""
-        self.loop.call_later(0.05, self.judge_extra, link)
+        self.loop.call_later(0.05, self.record_unexpected_reply, connection)
 
-    def judge_extra(self, link: Link) -> None:
-        if not link.transport.is_closing():
-            self.note({"e": "extra", "t": Place.clock_ns(), "l": link.limiter})
-            link.transport.abort()
+    def record_unexpected_reply(self, connection: ClientConnection) -> None:
+        if not connection.transport.is_closing():
+            self.note({"e": "extra", "t": Place.clock_ns(), "l": connection.limiter})
+            connection.transport.abort()
 
-    def ended(self, one: Try, how: str, value: str = "", advice_ms: int = 0) -> None:
+    def finish_attempt(
+        self, attempt: Attempt, outcome: str, value: str = "", retry_after_ms: int = 0
+    ) -> None:
         """The end of a try; what comes then depends on what is known of it."""
-        if one.over:
+        if attempt.finished:
             return
-        one.over = True
-        if one.timer:
-            one.timer.cancel()
-        arrival, clients = one.arrival, self.plan.clients
-        row: dict[str, Any] = {"e": "ans", "t": Place.clock_ns(), "id": one.id, "n": arrival.number,
-                               "k": one.number, "how": how}  # fmt: skip
+        attempt.finished = True
+        if attempt.timer:
+            attempt.timer.cancel()
+        arrival, clients = attempt.arrival, self.plan.clients
+        row: dict[str, Any] = {"e": "ans", "t": Place.clock_ns(), "id": attempt.id, "n": arrival.number,
+                               "k": attempt.number, "how": outcome}  # fmt: skip
         if value:
             row["v"] = value
-        if advice_ms:
-            row["ms"] = advice_ms
+        if retry_after_ms:
+            row["ms"] = retry_after_ms
         self.note(row)
-        self.served += how == "value"
-        self.refused += how == "busy"
-        harmless = how in ("busy", "unsent") or self.plan.classes[arrival.kind].repeat == "safe"
-        if how == "value" or not harmless or one.number >= clients.retries:
-            self.first_ns.pop(arrival.number, None)
+        self.served += outcome == "value"
+        self.refused += outcome == "busy"
+        may_retry = outcome in ("busy", "unsent") or self.plan.classes[arrival.kind].repeat == "safe"
+        if outcome == "value" or not may_retry or attempt.number >= clients.retries:
+            self.open_due_ns.pop(arrival.number, None)
             return
-        chance = draw.uniform(self.seed, "backoff", one.id)
-        wait_s = clients.backoff_ms * 2**one.number * chance / 1000
-        if how == "busy" and advice_ms and draw.uniform(self.seed, "honour", one.id) < clients.honour:
-            wait_s = max(wait_s, advice_ms / 1000)
-        self.loop.call_later(wait_s, self.try_, arrival, one.number + 1)
+        jitter = draw.uniform(self.seed, "backoff", attempt.id)
+        wait_s = clients.backoff_ms * 2**attempt.number * jitter / 1000
+        if (
+            outcome == "busy"
+            and retry_after_ms
+            and draw.uniform(self.seed, "honour", attempt.id) < clients.honour
+        ):
+            wait_s = max(wait_s, retry_after_ms / 1000)
+        self.loop.call_later(wait_s, self.start_attempt, arrival, attempt.number + 1)
 
     # What the front learns
 
-    def limiter(self, number: int, up: bool, process: int, planned: bool) -> None:
+    def set_limiter_state(self, number: int, up: bool, incarnation: int, planned: bool) -> None:
         if up:
-            self.processes[number] = process
-            self.believed[number] = True
+            self.incarnations[number] = incarnation
+            self.believed_up[number] = True
             return
         low, high = self.plan.clients.notice_s
-        notice_s = 0.0 if planned else draw.between(low, high, self.seed, "front-notice", number, process)
+        notice_s = 0.0 if planned else draw.between(low, high, self.seed, "front-notice", number, incarnation)
 
         def notice() -> None:
-            if self.processes[number] == process:
-                self.believed[number] = False
+            if self.incarnations[number] == incarnation:
+                self.believed_up[number] = False
 
         self.loop.call_later(notice_s, notice)
 
     # Bad clients
 
-    def rude(self, number: int) -> None:
-        task = self.loop.create_task(self.be_rude(number))
+    def start_malformed_request(self, number: int) -> None:
+        task = self.loop.create_task(self.send_malformed_request(number))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def be_rude(self, number: int) -> None:
+    async def send_malformed_request(self, number: int) -> None:
         """Send what cannot be read; an error line or a close is owed within 3 s."""
         limiter = number % len(self.ports)
-        text = RUDE[number % len(RUDE)]
+        text = MALFORMED_REQUESTS[number % len(MALFORMED_REQUESTS)]
         try:
             reader, writer = await asyncio.open_connection(Place.host, self.ports[limiter])
         except OSError:
@@ -324,7 +349,7 @@
         served, ok = False, False
         try:
             writer.write(text)
-            async with asyncio.timeout(RUDE_WAIT_S):
+            async with asyncio.timeout(MALFORMED_REPLY_TIMEOUT_S):
                 data = await reader.read(1 << 16)
             ok = not data or data.startswith(b"-")
             served = data.startswith((b"$", b"*"))
@@ -338,17 +363,17 @@
 
     def stop(self) -> None:
         self.stopped = True
-        for link in list(self.links):
-            link.transport.abort()
+        for connection in list(self.connections):
+            connection.transport.abort()
 
 
-class Work:
+class DesksWorker:
     """The orders of the orchestrator to this process."""
 
     desks: Desks
     recorder: Recorder
     lag: Lag
-    beat: asyncio.Task[None]
+    progress_task: asyncio.Task[None]
 
     async def take(self, orders: Orders, order: dict[str, Any]) -> bool:
         if order["op"] == "start":
@@ -357,15 +382,17 @@
             self.recorder = Recorder(order["part"])
             self.desks = Desks(plan, order["seed"], self.recorder, order["ports"])
             self.lag = Lag(self.desks.loop, "desks", self.desks.note)
-            told = self.desks.arrivals
-            orders.tell(ev="ready", requests=len(told), digest=draw.digest(told))
+            arrivals = self.desks.arrivals
+            orders.tell(ev="ready", requests=len(arrivals), digest=draw.digest(arrivals))
         elif order["op"] == "go":
-            self.desks.begin(order["start_ns"])
-            self.beat = asyncio.get_running_loop().create_task(beat(self.desks, orders.tell))
+            self.desks.start(order["start_ns"])
+            self.progress_task = asyncio.get_running_loop().create_task(
+                report_progress(self.desks, orders.tell)
+            )
         elif order["op"] == "limiter":
-            self.desks.limiter(order["l"], order["up"], order["p"], order["planned"])
+            self.desks.set_limiter_state(order["l"], order["up"], order["p"], order["planned"])
         elif order["op"] == "end":
-            self.beat.cancel()
+            self.progress_task.cancel()
             self.lag.close()
             self.desks.stop()
             await asyncio.sleep(0.05)
@@ -375,13 +402,13 @@
         return True
 
 
-async def beat(desks: Desks, tell: Callable[..., None]) -> None:
+async def report_progress(desks: Desks, send_event: Callable[..., None]) -> None:
     """How far it is, twice a second, and when nothing is open any more."""
     while True:
         await asyncio.sleep(0.5)
-        tell(ev="beat", asked=desks.asked, served=desks.served, refused=desks.refused,
-             open=len(desks.first_ns) + len(desks.arrivals) - desks.next)  # fmt: skip
+        send_event(ev="beat", asked=desks.asked, served=desks.served, refused=desks.refused,
+                   open=len(desks.open_due_ns) + len(desks.arrivals) - desks.next_arrival)  # fmt: skip
 
 
 if __name__ == "__main__":
-    sys.exit(work("desks", Work().take))
+    sys.exit(work("desks", DesksWorker().take))
--- a/hookport/rehearsal/referee.py
+++ b/hookport/rehearsal/referee.py
@@ -26,7 +26,7 @@
 
 from hookport.rehearsal.history import Row
 from hookport.rehearsal.plan import Plan
-from hookport.rehearsal.standins.server import FALL_SLACK
+from hookport.rehearsal.standins.server import OVERLOAD_SLACK_JOBS
 
 SECOND = 1_000_000_000
 MS = 1_000_000
@@ -291,7 +291,7 @@
                 age = (row["t"] - up["t"]) / SECOND / fleet.cold_s
                 warm = min(1.0, fleet.cold_from + (1 - fleet.cold_from) * age)
                 budget = fleet.fall_multiple * up["cores"] * up["speed"] * warm * fleet.fall_s * 1000
-                if sum_ms <= ROUNDED * (budget + FALL_SLACK * mean_ms):
+                if sum_ms <= ROUNDED * (budget + OVERLOAD_SLACK_JOBS * mean_ms):
                     continue
                 knew = sum(r["w"] for r in recent
                            if born.get((r["l"], server, up["born"]), 1 << 62) <= r["t"])  # fmt: skip
--- a/hookport/rehearsal/scripted.py
+++ b/hookport/rehearsal/scripted.py
@@ -13,21 +13,21 @@
 import hiredis
 
 VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
-PATIENCE_S = 20.0  # for what is sure to come: only a failed test waits as long
+TIMEOUT_S = 20.0  # for what is sure to come: only a failed test waits as long
 
 Handler = Callable[["Stub", list[bytes], asyncio.StreamWriter], Awaitable[None]]
 
 
-async def soon(event: Awaitable[Any]) -> Any:
-    return await asyncio.wait_for(event, PATIENCE_S)
+async def within_timeout(awaitable: Awaitable[Any]) -> Any:
+    return await asyncio.wait_for(awaitable, TIMEOUT_S)
 
 
 async def until(condition: Callable[[], object]) -> None:
-    async def look() -> None:
+    async def poll() -> None:
         while not condition():
             await asyncio.sleep(0.005)
 
-    await soon(look())
+    await within_timeout(poll())
 
 
 class Stub:
@@ -41,53 +41,53 @@
         self.release = asyncio.Event()
 
     async def start(self) -> Stub:
-        self.server = await asyncio.start_server(self.talk, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self.handle_connection, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         parser = hiredis.Reader()
         self.writers.append(writer)
         try:
             while data := await reader.read(1 << 16):
                 parser.feed(data)
-                while (words := parser.gets()) is not False:
-                    self.commands.append(words)
-                    await self.handler(self, words, writer)
+                while (arguments := parser.gets()) is not False:
+                    self.commands.append(arguments)
+                    await self.handler(self, arguments, writer)
         except OSError:
             pass
         finally:
             self.closed += 1
             writer.close()
 
-    def die(self) -> None:
+    def kill(self) -> None:
         self.server.close()
         for writer in self.writers:
             writer.transport.abort()
 
 
-async def serve(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
+async def serve(stub: Stub, arguments: list[bytes], writer: asyncio.StreamWriter) -> None:
     writer.write(VALUE)
 
 
-async def hold(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
+async def reply_when_released(stub: Stub, arguments: list[bytes], writer: asyncio.StreamWriter) -> None:
     await stub.release.wait()
     writer.write(VALUE)
 
 
-async def never(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
+async def never_reply(stub: Stub, arguments: list[bytes], writer: asyncio.StreamWriter) -> None:
     pass
 
 
-async def reset(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
+async def reset(stub: Stub, arguments: list[bytes], writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
-def saying(text: bytes) -> Handler:
-    async def say(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
+def reply_with(text: bytes) -> Handler:
+    async def reply(stub: Stub, arguments: list[bytes], writer: asyncio.StreamWriter) -> None:
         writer.write(text)
 
-    return say
+    return reply
 
 
 class Discovery:
@@ -98,11 +98,11 @@
         self.watches: list[asyncio.StreamWriter] = []
 
     async def start(self) -> Discovery:
-        self.server = await asyncio.start_server(self.talk, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self.handle_connection, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.requests.append(await reader.readuntil(b"\r\n\r\n"))
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.watches.append(writer)
@@ -115,14 +115,14 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self.parser = reader, writer, hiredis.Reader()
 
-    def send(self, *words: bytes) -> None:
-        self.writer.write(hiredis.pack_command(words))  # type: ignore[arg-type,no-untyped-call,unused-ignore]
+    def send(self, *arguments: bytes) -> None:
+        self.writer.write(hiredis.pack_command(arguments))  # type: ignore[arg-type,no-untyped-call,unused-ignore]
 
     async def answer(self) -> Any:
         """The next answer, or EOFError when the connection ends."""
         while (reply := self.parser.gets()) is False:
             try:
-                data = await soon(self.reader.read(1 << 16))
+                data = await within_timeout(self.reader.read(1 << 16))
             except ConnectionError:
                 data = b""
             if not data:
@@ -130,6 +130,6 @@
             self.parser.feed(data)
         return reply
 
-    async def ask(self, *words: bytes) -> Any:
-        self.send(*words)
+    async def ask(self, *arguments: bytes) -> Any:
+        self.send(*arguments)
         return await self.answer()
--- a/hookport/rehearsal/standins/__init__.py
+++ b/hookport/rehearsal/standins/__init__.py
@@ -1,9 +1,9 @@
 """Stand-ins for what a limiter talks to, each by its published protocol, all on loopback addresses."""
 
 from hookport.rehearsal.standins.counter import Counter
+from hookport.rehearsal.standins.datagrams import DatagramRelay
 from hookport.rehearsal.standins.discovery import Agent, Fleet
-from hookport.rehearsal.standins.post import Post
 from hookport.rehearsal.standins.proxy import Proxy
 from hookport.rehearsal.standins.server import Model, Server
 
-__all__ = ["Agent", "Counter", "Fleet", "Model", "Post", "Proxy", "Server"]
+__all__ = ["Agent", "Counter", "Fleet", "Model", "DatagramRelay", "Proxy", "Server"]
--- a/hookport/rehearsal/standins/counter.py
+++ b/hookport/rehearsal/standins/counter.py
@@ -12,44 +12,44 @@
 
 from hookport.rehearsal.loops import Place, Slots, listen
 
-LONGEST_LIFE_MS = 60_000
-MOST_CONNECTIONS = 32  # of one limiter
-MOST_NAMES = 1 << 20
-KEEP_EVERY_S, KEPT = 0.5, 20  # copies of all totals, for a snapshot to come back to
+MAX_TTL_MS = 60_000
+MAX_CONNECTIONS = 32  # of one limiter
+SWEEP_THRESHOLD_KEYS = 1 << 20
+SNAPSHOT_INTERVAL_S, MAX_SNAPSHOTS = 0.5, 20  # copies of all totals, for a snapshot to come back to
 Mode = Literal["ok", "silent", "late", "noise", "busy", "down", "part"]
 NOISE = (b"$5\r\nhello\r\n", b"*1000\r\n", b":12\r\n", b"\x00\xffgarbage\r\n", b"$-1\r\n")
 
 
-class Line(asyncio.Protocol):
+class Connection(asyncio.Protocol):
     """One connection of a limiter."""
 
     def __init__(self, counter: Counter, limiter: int) -> None:
         self.counter, self.limiter = counter, limiter
-        self.reader = hiredis.Reader()
+        self.parser = hiredis.Reader()
         self.muted = False  # an answer was lost: answers come in order, so none comes any more
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.slots = Slots(self.write)
-        of_limiter = sum(line.limiter == self.limiter for line in self.counter.lines)
-        if of_limiter >= MOST_CONNECTIONS:
+        open_count = sum(connection.limiter == self.limiter for connection in self.counter.connections)
+        if open_count >= MAX_CONNECTIONS:
             return self.transport.abort()
-        self.counter.lines[self] = None
+        self.counter.connections[self] = None
 
     def write(self, data: bytes) -> None:
         if not self.transport.is_closing() and not self.muted:
             self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        self.reader.feed(data)
+        self.parser.feed(data)
         try:
-            while (words := self.reader.gets()) is not False:
-                self.counter.command(self, words)
+            while (arguments := self.parser.gets()) is not False:
+                self.counter.handle_command(self, arguments)
         except hiredis.ProtocolError:
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.counter.lines.pop(self, None)
+        self.counter.connections.pop(self, None)
 
 
 class Counter:
@@ -58,23 +58,23 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        parts: int = 4,
+        shards: int = 4,
         per_s: float = 400.0,
-        line: int = 200,
-        lost: Callable[[], bool] | None = None,
+        queue_limit: int = 200,
+        answer_lost: Callable[[], bool] | None = None,
     ) -> None:
-        self.loop, self.per_s, self.most_waiting = loop, per_s, line
-        self.lost = lost or (lambda: False)
-        self.free_s = [0.0] * parts  # when each part has served what waits for it
+        self.loop, self.per_s, self.queue_limit = loop, per_s, queue_limit
+        self.answer_lost = answer_lost or (lambda: False)
+        self.shard_free_s = [0.0] * shards  # when each part has served what waits for it
         self.totals: list[dict[bytes, tuple[float, float]]] = [{}, {}]  # of each side of a split
         self.split = False
-        self.side_of: dict[int, int] = {}  # of limiters, while it is split; others are on the first
-        self.kept: deque[tuple[float, dict[bytes, tuple[float, float]]]] = deque(maxlen=KEPT)
-        self.keeper: asyncio.TimerHandle | None = None
+        self.limiter_sides: dict[int, int] = {}  # of limiters, while it is split; others are on the first
+        self.snapshots: deque[tuple[float, dict[bytes, tuple[float, float]]]] = deque(maxlen=MAX_SNAPSHOTS)
+        self.snapshot_timer: asyncio.TimerHandle | None = None
         self.mode: Mode = "ok"
-        self.late_s = 0.2
+        self.answer_delay_s = 0.2
         self.calls: list[int] = []
-        self.lines: dict[Line, None] = {}  # in the order of their opening
+        self.connections: dict[Connection, None] = {}  # in the order of their opening
         self.ports: list[int] = []
         self.listeners: dict[int, asyncio.Server] = {}
 
@@ -82,28 +82,30 @@
         """Listen once for each limiter; returns the ports."""
         self.calls, self.ports = [0] * limiters, [0] * limiters
         for limiter in range(limiters):
-            await self.open(limiter)
+            await self.open_listener(limiter)
         return list(self.ports)
 
-    async def open(self, limiter: int) -> int:
+    async def open_listener(self, limiter: int) -> int:
         """Listen for one limiter, at its old address if there is one."""
-        listener, port = await listen(self.loop, lambda: Line(self, limiter), self.ports[limiter])
+        listener, port = await listen(self.loop, lambda: Connection(self, limiter), self.ports[limiter])
         self.listeners[limiter], self.ports[limiter] = listener, port
         return port
 
-    def keep(self) -> None:
+    def take_snapshots(self) -> None:
         """Keep copies of the totals, the oldest some 10 s old."""
-        self.kept.append((self.loop.time(), dict(self.totals[0])))
-        self.keeper = self.loop.call_later(KEEP_EVERY_S, self.keep)
+        self.snapshots.append((self.loop.time(), dict(self.totals[0])))
+        self.snapshot_timer = self.loop.call_later(SNAPSHOT_INTERVAL_S, self.take_snapshots)
 
-    def snapshot(self, age_s: float) -> dict[bytes, tuple[float, float]]:
+    def find_snapshot(self, age_s: float) -> dict[bytes, tuple[float, float]]:
         """The totals of that long ago, or the oldest that were kept."""
         before_s = self.loop.time() - age_s
-        old = [totals for at_s, totals in self.kept if at_s <= before_s] or [t for _, t in self.kept][:1]
+        old = [totals for at_s, totals in self.snapshots if at_s <= before_s] or [
+            t for _, t in self.snapshots
+        ][:1]
         return dict(old[-1]) if old else {}
 
-    async def set(
-        self, mode: str, late_s: float = 0.2, age_s: float = 2.0, sides: Sequence[Sequence[int]] = ()
+    async def set_mode(
+        self, mode: str, answer_delay_s: float = 0.2, age_s: float = 2.0, sides: Sequence[Sequence[int]] = ()
     ) -> None:
         """Go over to a mode.
 
@@ -111,43 +113,43 @@
         ``split`` gives the second of the ``sides``, or odd limiters, a copy of their own; ``part`` lets one
         part die and the others live."""
         if mode in ("fresh", "snapshot"):
-            self.totals = [{} if mode == "fresh" else self.snapshot(age_s), {}]
-            for line in list(self.lines):
-                line.transport.abort()
+            self.totals = [{} if mode == "fresh" else self.find_snapshot(age_s), {}]
+            for connection in list(self.connections):
+                connection.transport.abort()
             return
         if mode == "split":
             self.split, self.totals[1] = True, dict(self.totals[0])
             second = sides[1] if sides else range(1, len(self.ports), 2)
-            self.side_of = dict.fromkeys(second, 1)
+            self.limiter_sides = dict.fromkeys(second, 1)
             return
         self.split = False
-        before, self.mode, self.late_s = self.mode, cast(Mode, mode), late_s
+        before, self.mode, self.answer_delay_s = self.mode, cast(Mode, mode), answer_delay_s
         if mode == "down":
             self.close()
         elif before == "down":
-            self.keep()
+            self.take_snapshots()
             for limiter in range(len(self.ports)):
-                await self.open(limiter)
+                await self.open_listener(limiter)
 
-    def flap(self, limiter: int) -> None:
+    def switch_side(self, limiter: int) -> None:
         """While it is split: a limiter's way leads to the other side from now on, by new connections."""
-        self.side_of[limiter] = 1 - self.side_of.get(limiter, 0)
-        for line in [line for line in self.lines if line.limiter == limiter]:
-            line.transport.abort()
+        self.limiter_sides[limiter] = 1 - self.limiter_sides.get(limiter, 0)
+        for connection in [connection for connection in self.connections if connection.limiter == limiter]:
+            connection.transport.abort()
 
-    async def move(self, limiter: int) -> int:
+    async def change_address(self, limiter: int) -> int:
         """Go to a new address: the old one takes no new connection and closes the open ones after 1.5 s."""
-        old = [line for line in self.lines if line.limiter == limiter]
+        old = [connection for connection in self.connections if connection.limiter == limiter]
         if listener := self.listeners.pop(limiter, None):
             listener.close()
 
-        def end() -> None:
-            for line in old:
-                line.transport.close()
+        def close_old_connections() -> None:
+            for connection in old:
+                connection.transport.close()
 
-        self.loop.call_later(1.5, end)
+        self.loop.call_later(1.5, close_old_connections)
         self.ports[limiter] = 0
-        port = await self.open(limiter)
+        port = await self.open_listener(limiter)
         if self.mode == "down":  # at its new address too
             self.listeners.pop(limiter).close()
         return port
@@ -156,58 +158,66 @@
         for listener in self.listeners.values():
             listener.close()
         self.listeners.clear()
-        if self.keeper:
-            self.keeper.cancel()
-        for line in list(self.lines):
-            line.transport.abort()
-
-    def command(self, line: Line, words: Any) -> None:
-        slot = line.slots.take()
-        verb = words[0].upper() if isinstance(words, list) and words and isinstance(words[0], bytes) else b""
-        if verb == b"PING":
-            return line.slots.give(slot, b"+PONG\r\n")
-        if verb in (b"CLIENT", b"SELECT"):
-            return line.slots.give(slot, b"+OK\r\n")
-        if verb != b"INCRTTL" or len(words) != 4 or not 1 <= len(words[1]) <= 64:
-            return line.slots.give(slot, b"-ERR no such call\r\n")
+        if self.snapshot_timer:
+            self.snapshot_timer.cancel()
+        for connection in list(self.connections):
+            connection.transport.abort()
+
+    def handle_command(self, connection: Connection, arguments: Any) -> None:
+        slot = connection.slots.take()
+        command = (
+            arguments[0].upper()
+            if isinstance(arguments, list) and arguments and isinstance(arguments[0], bytes)
+            else b""
+        )
+        if command == b"PING":
+            return connection.slots.give(slot, b"+PONG\r\n")
+        if command in (b"CLIENT", b"SELECT"):
+            return connection.slots.give(slot, b"+OK\r\n")
+        if command != b"INCRTTL" or len(arguments) != 4 or not 1 <= len(arguments[1]) <= 64:
+            return connection.slots.give(slot, b"-ERR no such call\r\n")
         try:
-            amount, life_ms = float(words[2]), min(LONGEST_LIFE_MS, int(words[3]))
+            amount, ttl_ms = float(arguments[2]), min(MAX_TTL_MS, int(arguments[3]))
         except ValueError:
-            return line.slots.give(slot, b"-ERR not a number\r\n")
-        if not abs(amount) <= 1e9 or life_ms < 1:
-            return line.slots.give(slot, b"-ERR out of range\r\n")
-        self.calls[line.limiter] += 1
+            return connection.slots.give(slot, b"-ERR not a number\r\n")
+        if not abs(amount) <= 1e9 or ttl_ms < 1:
+            return connection.slots.give(slot, b"-ERR out of range\r\n")
+        self.calls[connection.limiter] += 1
         now_s = self.loop.time()
-        part = zlib.crc32(words[1]) % len(self.free_s)
-        if self.mode == "part" and part == 0:
-            line.muted = True  # it adds nothing and never answers; answers come in order
+        shard = zlib.crc32(arguments[1]) % len(self.shard_free_s)
+        if self.mode == "part" and shard == 0:
+            connection.muted = True  # it adds nothing and never answers; answers come in order
             return
-        if (self.free_s[part] - now_s) * self.per_s > self.most_waiting or self.mode == "busy":
-            return line.slots.give(slot, b"-BUSY\r\n")
-        self.free_s[part] = max(now_s, self.free_s[part]) + 1 / self.per_s
-        self.loop.call_at(self.free_s[part], self.serve, line, slot, words[1], amount, life_ms)
-
-    def add(self, side: int, name: bytes, amount: float, life_ms: int, now_s: float) -> float:
+        if (self.shard_free_s[shard] - now_s) * self.per_s > self.queue_limit or self.mode == "busy":
+            return connection.slots.give(slot, b"-BUSY\r\n")
+        self.shard_free_s[shard] = max(now_s, self.shard_free_s[shard]) + 1 / self.per_s
+        self.loop.call_at(
+            self.shard_free_s[shard], self.execute, connection, slot, arguments[1], amount, ttl_ms
+        )
+
+    def add(self, side: int, key: bytes, amount: float, ttl_ms: int, now_s: float) -> float:
         """Add to a name that lives ``life_ms`` from its first call; returns the total."""
         totals = self.totals[side]
-        total, ends_s = totals.get(name, (0.0, -1.0))
-        if ends_s <= now_s:
-            total, ends_s = 0.0, now_s + life_ms / 1000
-            if len(totals) > MOST_NAMES:
-                for old in [key for key, (_, end) in totals.items() if end <= now_s]:
+        total, expires_s = totals.get(key, (0.0, -1.0))
+        if expires_s <= now_s:
+            total, expires_s = 0.0, now_s + ttl_ms / 1000
+            if len(totals) > SWEEP_THRESHOLD_KEYS:
+                for old in [key for key, (_, end_s) in totals.items() if end_s <= now_s]:
                     del totals[old]
-        totals[name] = (total + amount, ends_s)
+        totals[key] = (total + amount, expires_s)
         return total + amount
 
-    def serve(self, line: Line, slot: list[bytes | None], name: bytes, amount: float, life_ms: int) -> None:
-        side = self.side_of.get(line.limiter, 0) if self.split else 0
-        total = b"%.7g" % self.add(side, name, amount, life_ms, self.loop.time())
+    def execute(
+        self, connection: Connection, slot: list[bytes | None], key: bytes, amount: float, ttl_ms: int
+    ) -> None:
+        side = self.limiter_sides.get(connection.limiter, 0) if self.split else 0
+        total = b"%.7g" % self.add(side, key, amount, ttl_ms, self.loop.time())
         answer = b"$%d\r\n%s\r\n" % (len(total), total)
         if self.mode == "noise":
             answer = NOISE[Place.clock_ns() // 1000 % len(NOISE)]
-        if self.mode == "silent" or self.lost():
-            line.muted = True
+        if self.mode == "silent" or self.answer_lost():
+            connection.muted = True
         if self.mode == "late":
-            self.loop.call_later(self.late_s, line.slots.give, slot, answer)
+            self.loop.call_later(self.answer_delay_s, connection.slots.give, slot, answer)
         else:
-            line.slots.give(slot, answer)
+            connection.slots.give(slot, answer)
--- a/hookport/rehearsal/standins/proxy.py
+++ b/hookport/rehearsal/standins/proxy.py
@@ -23,78 +23,78 @@
     transport.abort()
 
 
-class Side(asyncio.Protocol):
+class ProxyConnection(asyncio.Protocol):
     """One of the two connections of a pair; what it reads goes to the other, as the proxy's mode has it."""
 
-    def __init__(self, proxy: Proxy, other: Side | None = None) -> None:
-        self.proxy, self.other = proxy, other
+    def __init__(self, proxy: Proxy, peer: ProxyConnection | None = None) -> None:
+        self.proxy, self.peer = proxy, peer
         self.transport: asyncio.Transport | None = None
-        self.held: list[bytes] = []  # until the other side is there
-        self.passed = 0  # bytes, from this side to the other
-        self.from_peer = other is not None  # this is the far side: its bytes are answers
-        self.ended = False
+        self.buffered: list[bytes] = []  # until the other side is there
+        self.passed_bytes = 0  # bytes, from this side to the other
+        self.is_target_side = peer is not None  # this is the far side: its bytes are answers
+        self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.proxy.sides[self] = None
-        if self.other is None:
+        self.proxy.connections[self] = None
+        if self.peer is None:
             if self.proxy.mode == "refuse":
                 return reset(self.transport)
-            self.proxy.loop.create_task(self.proxy.join(self))
+            self.proxy.loop.create_task(self.proxy.connect_target(self))
         else:
-            self.other.other = self
-            for data in self.other.held:
-                self.other.forward(data)
-            self.other.held.clear()
-            if self.other.ended:
+            self.peer.peer = self
+            for data in self.peer.buffered:
+                self.peer.forward(data)
+            self.peer.buffered.clear()
+            if self.peer.closed:
                 self.transport.close()
 
     def data_received(self, data: bytes) -> None:
-        if self.other is None:
-            self.held.append(data)
+        if self.peer is None:
+            self.buffered.append(data)
         elif self.proxy.mode != "silence":
             self.forward(data)
 
     def forward(self, data: bytes) -> None:
         """Pass bytes on; harm is done to answers only, except delay and silence."""
         proxy = self.proxy
-        other = self.other
-        if other is None or other.transport is None or other.transport.is_closing():
+        peer = self.peer
+        if peer is None or peer.transport is None or peer.transport.is_closing():
             return
-        mode = proxy.mode if self.from_peer or proxy.mode == "delay" else "pass"
-        before, self.passed = self.passed, self.passed + len(data)
+        mode = proxy.mode if self.is_target_side or proxy.mode == "delay" else "pass"
+        before, self.passed_bytes = self.passed_bytes, self.passed_bytes + len(data)
         if mode == "delay":
-            proxy.loop.call_later(proxy.delay_s, other.write, data)
-        elif mode in ("reset", "truncate") and self.passed > proxy.byte:
-            other.write(data[: max(0, proxy.byte - before)])
+            proxy.loop.call_later(proxy.delay_s, peer.write, data)
+        elif mode in ("reset", "truncate") and self.passed_bytes > proxy.cut_after_bytes:
+            peer.write(data[: max(0, proxy.cut_after_bytes - before)])
             if mode == "reset":
-                reset(other.transport)
+                reset(peer.transport)
             else:
-                other.transport.close()
+                peer.transport.close()
         elif mode == "trickle":
             for n in range(len(data)):
-                proxy.loop.call_later(n * TRICKLE_S, other.write, data[n : n + 1])
+                proxy.loop.call_later(n * TRICKLE_S, peer.write, data[n : n + 1])
         elif mode == "garbage":
-            other.write(data + NOISE)
+            peer.write(data + NOISE)
         else:
-            other.write(data)
+            peer.write(data)
 
     def write(self, data: bytes) -> None:
         if data and self.transport and not self.transport.is_closing():
             self.transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.ended = True
-        self.proxy.sides.pop(self, None)
-        other = self.other
+        self.closed = True
+        self.proxy.connections.pop(self, None)
+        peer = self.peer
         # A machine that is cut off says nothing, not even that it has gone.
-        if other and other.transport and self.proxy.mode != "silence":
+        if peer and peer.transport and self.proxy.mode != "silence":
             if isinstance(exc, ConnectionResetError):
-                reset(other.transport)
+                reset(peer.transport)
             elif self.proxy.mode == "delay":
-                self.proxy.loop.call_later(self.proxy.delay_s, other.transport.close)
+                self.proxy.loop.call_later(self.proxy.delay_s, peer.transport.close)
             else:
-                other.transport.close()
+                peer.transport.close()
 
 
 class Proxy:
@@ -103,34 +103,36 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, target: Callable[[], int]) -> None:
         self.loop, self.target = loop, target
         self.mode: Mode = "pass"
-        self.delay_s, self.byte = 0.1, 40
-        self.sides: dict[Side, None] = {}  # in the order of their coming
+        self.delay_s, self.cut_after_bytes = 0.1, 40
+        self.connections: dict[ProxyConnection, None] = {}  # in the order of their coming
         self.listener: asyncio.Server | None = None
         self.port = 0
 
     async def start(self, port: int = 0) -> int:
-        self.listener, self.port = await listen(self.loop, lambda: Side(self), port)
+        self.listener, self.port = await listen(self.loop, lambda: ProxyConnection(self), port)
         return self.port
 
-    async def join(self, near: Side) -> None:
+    async def connect_target(self, client_side: ProxyConnection) -> None:
         try:
-            await self.loop.create_connection(lambda: Side(self, near), Place.host, self.target())
+            await self.loop.create_connection(
+                lambda: ProxyConnection(self, client_side), Place.host, self.target()
+            )
         except OSError:
-            if near.transport:
-                reset(near.transport)
+            if client_side.transport:
+                reset(client_side.transport)
 
-    def set(self, mode: str, delay_s: float = 0.1, byte: int = 40) -> None:
+    def set_mode(self, mode: str, delay_s: float = 0.1, cut_after_bytes: int = 40) -> None:
         """Do this harm from now on; ``pass`` after ``silence`` resets what was cut off."""
         before, self.mode = self.mode, cast(Mode, mode)
-        self.delay_s, self.byte = delay_s, byte
-        for side in list(self.sides):
-            side.passed = 0
-            if before == "silence" and mode != "silence" and side.transport:
-                reset(side.transport)
+        self.delay_s, self.cut_after_bytes = delay_s, cut_after_bytes
+        for connection in list(self.connections):
+            connection.passed_bytes = 0
+            if before == "silence" and mode != "silence" and connection.transport:
+                reset(connection.transport)
 
     def close(self) -> None:
         if self.listener:
             self.listener.close()
-        for side in list(self.sides):
-            if side.transport:
-                side.transport.abort()
+        for connection in list(self.connections):
+            if connection.transport:
+                connection.transport.abort()
--- a/hookport/rehearsal/standins/server.py
+++ b/hookport/rehearsal/standins/server.py
@@ -20,8 +20,8 @@
 from hookport.rehearsal.loops import Note, Place, Slots, listen
 
 LINGER_RESET = struct.pack("ii", 1, 0)
-FALL_SLACK = 4.0  # mean works that chance alone may send beyond the budget
-Hook = Callable[[str, "Server", "Job"], None]
+OVERLOAD_SLACK_JOBS = 4.0  # mean works that chance alone may send beyond the budget
+EventHook = Callable[[str, "Server", "Job"], None]
 
 
 @dataclass(frozen=True)
@@ -30,25 +30,27 @@
 
     cores: int = 2
     speed: float = 1.0
-    queue: int = 24
-    cold_from: float = 0.25
-    cold_s: float = 8.0
-    fall_multiple: float = 3.0
-    fall_s: float = 1.5
+    queue_capacity: int = 24
+    cold_capacity_share: float = 0.25
+    warm_up_s: float = 8.0
+    overload_multiple: float = 3.0
+    overload_window_s: float = 1.5
     cancel: Literal["none", "queued", "all"] = "queued"
-    connections: int = 400
-    idle_s: float = 30.0
+    max_connections: int = 400
+    idle_timeout_s: float = 30.0
     error_share: float = 0.0
     mean_work_s: float = 0.05
 
     def capacity(self, age_s: float) -> float:
         """Core seconds a second of speed 1, at that time after a cold start."""
-        warm = min(1.0, self.cold_from + (1 - self.cold_from) * max(0.0, age_s) / self.cold_s)
+        warm = min(
+            1.0, self.cold_capacity_share + (1 - self.cold_capacity_share) * max(0.0, age_s) / self.warm_up_s
+        )
         return self.cores * self.speed * warm
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class RequestSpec:
     """What the plan knows of a request that comes to a server: work in seconds, and who asks."""
 
     work_s: float
@@ -59,10 +61,12 @@
 class Job:
     """One attempt at a server."""
 
-    __slots__ = ("attempt", "connection", "id", "limiter", "slot", "state", "timer", "told")
+    __slots__ = ("attempt_id", "connection", "id", "limiter", "slot", "state", "timer", "spec")
 
-    def __init__(self, attempt: int, id: str, told: Told, connection: Connection, slot: list[bytes | None]):
-        self.attempt, self.id, self.told = attempt, id, told
+    def __init__(
+        self, attempt_id: int, id: str, spec: RequestSpec, connection: Connection, slot: list[bytes | None]
+    ):
+        self.attempt_id, self.id, self.spec = attempt_id, id, spec
         self.connection, self.slot, self.limiter = connection, slot, connection.limiter
         self.state: Literal["waiting", "running", "over"] = "waiting"
         self.timer: asyncio.TimerHandle | None = None
@@ -73,30 +77,30 @@
 
     def __init__(self, server: Server, limiter: int) -> None:
         self.server, self.limiter = server, limiter
-        self.reader = hiredis.Reader()
-        self.first_ns = 0
+        self.parser = hiredis.Reader()
+        self.first_byte_ns = 0
         self.partial = False
         self.jobs: dict[Job, None] = {}  # in the order of their coming
-        self.used_s = 0.0
+        self.last_used_s = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.slots = Slots(self.transport.write)
-        self.server.admit(self)
+        self.server.accept(self)
 
     def data_received(self, data: bytes) -> None:
         now_ns = Place.clock_ns()
         if not self.partial:
-            self.first_ns = now_ns
-        self.reader.feed(data)
+            self.first_byte_ns = now_ns
+        self.parser.feed(data)
         try:
-            while (words := self.reader.gets()) is not False:
-                first_ns, self.first_ns = self.first_ns, now_ns
-                self.server.command(self, words, first_ns, now_ns)
+            while (arguments := self.parser.gets()) is not False:
+                first_byte_ns, self.first_byte_ns = self.first_byte_ns, now_ns
+                self.server.handle_command(self, arguments, first_byte_ns, now_ns)
         except hiredis.ProtocolError as error:
-            self.server.syntax(self, str(error))
+            self.server.record_syntax_error(self, str(error))
             return self.transport.close()
-        self.partial = self.reader.has_data()
+        self.partial = self.parser.has_data()
 
     def reset(self) -> None:
         """End as the connection of a process that died does: with a reset."""
@@ -106,7 +110,7 @@
         self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.server.forget(self)
+        self.server.on_connection_lost(self)
 
 
 class Server:
@@ -117,27 +121,27 @@
         loop: asyncio.AbstractEventLoop,
         index: int,
         model: Model,
-        look_up: Callable[[str], Told | None],
+        look_up: Callable[[str], RequestSpec | None],
         note: Note,
-        hook: Hook | None = None,
+        hook: EventHook | None = None,
     ) -> None:
         self.loop, self.index, self.model = loop, index, model
         self.look_up, self.note, self.hook = look_up, note, hook
-        self.id, self.life = "", 0
+        self.id, self.incarnation = "", 0
         self.ports: list[int] = []
         self.listeners: list[asyncio.Server] = []
         self.connections: dict[Connection, None] = {}  # in the order of their coming
-        self.waiting: deque[Job] = deque()
+        self.queue: deque[Job] = deque()
         self.running: dict[Job, None] = {}  # in the order of their coming
-        self.recent: deque[tuple[float, float]] = deque()  # work that came lately, while cold
-        self.recent_s = 0.0
+        self.recent_work: deque[tuple[float, float]] = deque()  # work that came lately, while cold
+        self.recent_work_s = 0.0
         self.up, self.cold, self.draining = False, False, False
         self.slowness = 1.0
-        self.born_s, self.born_ms, self.serial, self.served = 0.0, 0, 0, 0
+        self.started_s, self.started_ms, self.attempt_count, self.served = 0.0, 0, 0, 0
 
     async def start(self, id: str, limiters: int, cold: bool = False) -> None:
         """Listen, at the same addresses as before if there were any."""
-        self.id, self.life = id, self.life + 1
+        self.id, self.incarnation = id, self.incarnation + 1
         old, self.ports = self.ports, []
         for limiter in range(limiters):
             factory = functools.partial(Connection, self, limiter)
@@ -145,12 +149,12 @@
             self.listeners.append(listener)
             self.ports.append(port)
         self.up, self.cold, self.draining = True, cold, False
-        born_ns = Place.clock_ns()
-        self.born_s = born_ns / 1e9
-        self.born_ms = Place.unix_ns() // 1_000_000 if cold else 0
-        self.recent.clear()
-        self.recent_s = 0.0
-        self.note({"e": "up", "t": born_ns, "s": id, "i": self.index, "born": self.born_ms,
+        started_ns = Place.clock_ns()
+        self.started_s = started_ns / 1e9
+        self.started_ms = Place.unix_ns() // 1_000_000 if cold else 0
+        self.recent_work.clear()
+        self.recent_work_s = 0.0
+        self.note({"e": "up", "t": started_ns, "s": id, "i": self.index, "born": self.started_ms,
                    "cores": self.model.cores, "speed": self.model.speed, "cold": cold})  # fmt: skip
 
     def stop(self, why: str) -> None:
@@ -161,103 +165,121 @@
         for listener in self.listeners:
             listener.close()
         self.listeners.clear()
-        for job in (*self.running, *self.waiting):
+        for job in (*self.running, *self.queue):
             if job.timer:
                 job.timer.cancel()
             job.state = "over"
         self.running.clear()
-        self.waiting.clear()
+        self.queue.clear()
         for connection in list(self.connections):
             connection.reset()
         self.note({"e": "down", "t": Place.clock_ns(), "s": self.id, "i": self.index, "why": why})
 
     # Connections
 
-    def admit(self, connection: Connection) -> None:
-        if not self.up or len(self.connections) >= self.model.connections:
+    def accept(self, connection: Connection) -> None:
+        if not self.up or len(self.connections) >= self.model.max_connections:
             return connection.reset()
         self.connections[connection] = None
-        connection.used_s = self.loop.time()
-        self.loop.call_later(self.model.idle_s, self.sweep, connection)
+        connection.last_used_s = self.loop.time()
+        self.loop.call_later(self.model.idle_timeout_s, self.close_if_idle, connection)
 
-    def sweep(self, connection: Connection) -> None:
+    def close_if_idle(self, connection: Connection) -> None:
         if connection not in self.connections:
             return
-        idle_s = self.loop.time() - connection.used_s
-        if idle_s >= self.model.idle_s and not connection.jobs:
+        idle_s = self.loop.time() - connection.last_used_s
+        if idle_s >= self.model.idle_timeout_s and not connection.jobs:
             connection.transport.close()
         else:
-            self.loop.call_later(max(0.1, self.model.idle_s - idle_s), self.sweep, connection)
+            self.loop.call_later(max(0.1, self.model.idle_timeout_s - idle_s), self.close_if_idle, connection)
 
-    def forget(self, connection: Connection) -> None:
+    def on_connection_lost(self, connection: Connection) -> None:
         """What a closed connection stops depends on the server."""
         self.connections.pop(connection, None)
         for job in list(connection.jobs):
-            stops = job.state == "waiting" and self.model.cancel != "none"
-            if stops or (job.state == "running" and self.model.cancel == "all"):
+            is_cancelled = job.state == "waiting" and self.model.cancel != "none"
+            if is_cancelled or (job.state == "running" and self.model.cancel == "all"):
                 if job.state == "waiting":
-                    self.waiting.remove(job)
+                    self.queue.remove(job)
                 elif job.timer:
                     job.timer.cancel()
                     self.running.pop(job, None)
                 job.state = "over"
         connection.jobs.clear()
         if self.up:
-            self.begin()
+            self.start_jobs()
 
     # Commands
 
-    def syntax(self, connection: Connection, why: str) -> None:
+    def record_syntax_error(self, connection: Connection, why: str) -> None:
         self.note({"e": "syntax", "t": Place.clock_ns(), "l": connection.limiter, "s": self.id,
                    "why": why[:120]})  # fmt: skip
 
-    def command(self, connection: Connection, words: Any, first_ns: int, now_ns: int) -> None:
-        connection.used_s = self.loop.time()
+    def handle_command(self, connection: Connection, arguments: Any, first_byte_ns: int, now_ns: int) -> None:
+        connection.last_used_s = self.loop.time()
         slot = connection.slots.take()
-        verb = words[0].upper() if isinstance(words, list) and words and isinstance(words[0], bytes) else b""
-        if verb in (b"SVC.QUERY", b"SVC.SUBMIT"):
-            return self.attempt(connection, words, slot, first_ns, now_ns)
-        told = {b"PING": b"+PONG\r\n", b"CLIENT": b"+OK\r\n", b"SELECT": b"+OK\r\n", b"INFO": b"-NOPERM\r\n"}
-        connection.slots.give(slot, told.get(verb, b"-ERR unknown command\r\n"))
-
-    def attempt(
-        self, connection: Connection, words: list[bytes], slot: list[bytes | None], first_ns: int, now_ns: int
+        command = (
+            arguments[0].upper()
+            if isinstance(arguments, list) and arguments and isinstance(arguments[0], bytes)
+            else b""
+        )
+        if command in (b"SVC.QUERY", b"SVC.SUBMIT"):
+            return self.handle_attempt(connection, arguments, slot, first_byte_ns, now_ns)
+        replies = {
+            b"PING": b"+PONG\r\n",
+            b"CLIENT": b"+OK\r\n",
+            b"SELECT": b"+OK\r\n",
+            b"INFO": b"-NOPERM\r\n",
+        }
+        connection.slots.give(slot, replies.get(command, b"-ERR unknown command\r\n"))
+
+    def handle_attempt(
+        self,
+        connection: Connection,
+        arguments: list[bytes],
+        slot: list[bytes | None],
+        first_byte_ns: int,
+        now_ns: int,
     ) -> None:
-        submit = words[0].upper() == b"SVC.SUBMIT"
-        told = self.look_up(words[2].decode("ascii", "replace")) if len(words) == 4 + submit else None
-        if told is None or told.unsafe != submit or b"d=" not in words[3]:
-            self.syntax(connection, repr(words)[:100])
+        submit = arguments[0].upper() == b"SVC.SUBMIT"
+        spec = self.look_up(arguments[2].decode("ascii", "replace")) if len(arguments) == 4 + submit else None
+        if spec is None or spec.unsafe != submit or b"d=" not in arguments[3]:
+            self.record_syntax_error(connection, repr(arguments)[:100])
             return connection.slots.give(slot, b"-SYNTAX\r\n")
-        self.serial += 1
-        number = (self.index << 40) | (self.life << 32) | self.serial
-        job = Job(number, words[2].decode(), told, connection, slot)
-        self.note({"e": "arrive", "t": now_ns, "f": first_ns, "id": job.id, "s": self.id,
-                   "l": connection.limiter, "w": round(told.work_s * 1000, 3), "a": number})  # fmt: skip
-        if told.unsafe and self.hook:
+        self.attempt_count += 1
+        attempt_id = (self.index << 40) | (self.incarnation << 32) | self.attempt_count
+        job = Job(attempt_id, arguments[2].decode(), spec, connection, slot)
+        self.note({"e": "arrive", "t": now_ns, "f": first_byte_ns, "id": job.id, "s": self.id,
+                   "l": connection.limiter, "w": round(spec.work_s * 1000, 3), "a": attempt_id})  # fmt: skip
+        if spec.unsafe and self.hook:
             self.hook("claim-received", self, job)
-        if not self.up or self.pressed(told.work_s, now_ns):
+        if not self.up or self.overloads(spec.work_s, now_ns):
             return
-        full = len(self.running) >= self.model.cores and len(self.waiting) >= self.model.queue
-        if full or self.draining:
-            self.note({"e": "turned", "t": Place.clock_ns(), "id": job.id, "a": number})
+        is_full = len(self.running) >= self.model.cores and len(self.queue) >= self.model.queue_capacity
+        if is_full or self.draining:
+            self.note({"e": "turned", "t": Place.clock_ns(), "id": job.id, "a": attempt_id})
             return connection.slots.give(slot, b"-BUSY\r\n")
         connection.jobs[job] = None
-        self.waiting.append(job)
-        self.begin()
+        self.queue.append(job)
+        self.start_jobs()
 
-    def pressed(self, work_s: float, now_ns: int) -> bool:
+    def overloads(self, work_s: float, now_ns: int) -> bool:
         """A cold server that gets more than its budget in one window falls over for good.
 
         Reckoned by the times that stand in the history, so that the referee comes to the same sums."""
         now_s = now_ns / 1e9
-        if not self.cold or now_s - self.born_s >= self.model.cold_s:
+        if not self.cold or now_s - self.started_s >= self.model.warm_up_s:
             return False
-        self.recent.append((now_s, work_s))
-        self.recent_s += work_s
-        while self.recent[0][0] < now_s - self.model.fall_s:
-            self.recent_s -= self.recent.popleft()[1]
-        budget_s = self.model.fall_multiple * self.model.capacity(now_s - self.born_s) * self.model.fall_s
-        if self.recent_s <= budget_s + FALL_SLACK * self.model.mean_work_s:
+        self.recent_work.append((now_s, work_s))
+        self.recent_work_s += work_s
+        while self.recent_work[0][0] < now_s - self.model.overload_window_s:
+            self.recent_work_s -= self.recent_work.popleft()[1]
+        budget_s = (
+            self.model.overload_multiple
+            * self.model.capacity(now_s - self.started_s)
+            * self.model.overload_window_s
+        )
+        if self.recent_work_s <= budget_s + OVERLOAD_SLACK_JOBS * self.model.mean_work_s:
             return False
         self.note({"e": "fell", "t": Place.clock_ns(), "s": self.id})
         self.stop("fell over")
@@ -265,38 +287,38 @@
 
     # Work
 
-    def begin(self) -> None:
-        while self.waiting and len(self.running) < self.model.cores:
-            job = self.waiting.popleft()
+    def start_jobs(self) -> None:
+        while self.queue and len(self.running) < self.model.cores:
+            job = self.queue.popleft()
             job.state = "running"
             self.running[job] = None
-            age_s = Place.clock_ns() / 1e9 - self.born_s if self.cold else self.model.cold_s
+            age_s = Place.clock_ns() / 1e9 - self.started_s if self.cold else self.model.warm_up_s
             speed = self.model.capacity(age_s) / self.model.cores
-            job.timer = self.loop.call_later(job.told.work_s * self.slowness / speed, self.end, job)
-            if job.told.unsafe and self.hook:
+            job.timer = self.loop.call_later(job.spec.work_s * self.slowness / speed, self.finish_job, job)
+            if job.spec.unsafe and self.hook:
                 self.hook("claim-begun", self, job)
                 if not self.up:
                     return
 
-    def end(self, job: Job) -> None:
+    def finish_job(self, job: Job) -> None:
         self.running.pop(job, None)
         job.state = "over"
         job.connection.jobs.pop(job, None)
-        if job.told.unsafe:
-            self.note({"e": "effect", "t": Place.clock_ns(), "id": job.id, "s": self.id, "a": job.attempt})
+        if job.spec.unsafe:
+            self.note({"e": "effect", "t": Place.clock_ns(), "id": job.id, "s": self.id, "a": job.attempt_id})
             if self.hook:
                 self.hook("claim-effect", self, job)
         if self.up:
-            self.reply(job)
-            self.begin()
+            self.send_reply(job)
+            self.start_jobs()
 
-    def reply(self, job: Job) -> None:
+    def send_reply(self, job: Job) -> None:
         if job.connection not in self.connections:
             return
-        if job.told.fails:
+        if job.spec.fails:
             return job.connection.slots.give(job.slot, b"-ERR failed\r\n")
-        value = f"{self.id}/{job.id}/{job.attempt & 0xFFFFFFFF}"
-        self.note({"e": "reply", "t": Place.clock_ns(), "id": job.id, "v": value, "a": job.attempt})
+        value = f"{self.id}/{job.id}/{job.attempt_id & 0xFFFFFFFF}"
+        self.note({"e": "reply", "t": Place.clock_ns(), "id": job.id, "v": value, "a": job.attempt_id})
         self.served += 1
         text = value.encode()
         job.connection.slots.give(job.slot, b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(text), text))
--- a/hookport/rehearsal/world.py
+++ b/hookport/rehearsal/world.py
@@ -17,17 +17,19 @@
 from hookport.rehearsal import plan as plans
 from hookport.rehearsal.history import Recorder
 from hookport.rehearsal.loops import Lag, Orders, Place, work
-from hookport.rehearsal.standins import Agent, Counter, Fleet, Model, Post, Proxy, Server
-from hookport.rehearsal.standins.server import Job, Told
+from hookport.rehearsal.standins import Agent, Counter, DatagramRelay, Fleet, Model, Proxy, Server
+from hookport.rehearsal.standins.server import Job, RequestSpec
 
-NEW_START_S = 0.05  # from the start of a server's process until discovery knows of it
+REGISTRATION_DELAY_S = 0.05  # from the start of a server's process until discovery knows of it
 
 
 class World:
     """All stand-ins of one evening but for the clients."""
 
-    def __init__(self, plan: plans.Plan, seed: int, recorder: Recorder, tell: Callable[..., None]) -> None:
-        self.plan, self.seed, self.recorder, self.tell = plan, seed, recorder, tell
+    def __init__(
+        self, plan: plans.Plan, seed: int, recorder: Recorder, send_event: Callable[..., None]
+    ) -> None:
+        self.plan, self.seed, self.recorder, self.send_event = plan, seed, recorder, send_event
         self.loop = asyncio.get_running_loop()
         self.note = recorder.note
         self.arrivals = draw.arrivals(plan, seed)
@@ -35,66 +37,70 @@
         self.servers: list[Server] = []
         self.agents: list[Agent] = []
         self.counter: Counter | None = None
-        self.post: Post | None = None
+        self.datagrams: DatagramRelay | None = None
         self.proxies: dict[tuple[str, int, int], Proxy] = {}
         self.limiter_ports: list[int] = []
         self.start_ns = 0
-        self.lost = 0
-        self.waiting = [n for n, fault in enumerate(plan.fault) if fault.when]
+        self.answer_count = 0
+        self.pending_faults = [n for n, fault in enumerate(plan.fault) if fault.when]
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def start(self, limiter_ports: list[int], word_ports: list[int]) -> dict[str, Any]:
+    async def start(self, limiter_ports: list[int], peer_ports: list[int]) -> dict[str, Any]:
         """Listen everywhere; returns the addresses that limiters and desks are to use."""
         plan, seed, limiters = self.plan, self.seed, self.plan.limiters.count
         self.limiter_ports = limiter_ports
         fleet = plan.fleet
-        mean_ms = sum(kind.work_ms for kind in plan.classes) / len(plan.classes)
+        mean_ms = sum(traffic_class.work_ms for traffic_class in plan.classes) / len(plan.classes)
         for n in range(fleet.servers):
             model = Model(
                 cores=fleet.cores,
                 speed=draw.between(*fleet.speed, seed, "speed", n),
-                queue=fleet.queue_per_core * fleet.cores,
-                cold_from=fleet.cold_from,
-                cold_s=fleet.cold_s,
-                fall_multiple=fleet.fall_multiple,
-                fall_s=fleet.fall_s,
+                queue_capacity=fleet.queue_per_core * fleet.cores,
+                cold_capacity_share=fleet.cold_from,
+                warm_up_s=fleet.cold_s,
+                overload_multiple=fleet.fall_multiple,
+                overload_window_s=fleet.fall_s,
                 cancel=fleet.cancel,
-                connections=fleet.connections,
-                idle_s=fleet.idle_s,
+                max_connections=fleet.connections,
+                idle_timeout_s=fleet.idle_s,
                 error_share=fleet.error_share,
                 mean_work_s=mean_ms / 1000,
             )
-            server = Server(self.loop, n, model, self.look_up, self.note, self.happened)
+            server = Server(self.loop, n, model, self.look_up, self.note, self.on_server_event)
             await server.start(self.server_id(n, 0), limiters)
             self.servers.append(server)
         for limiter in range(limiters):
             delay_s = draw.between(*plan.discovery.delay_s, seed, "agent", limiter)
-            within_s = plan.discovery.told_within_s
-            place = functools.partial(self.place, limiter=limiter)
-            self.agents.append(Agent(self.loop, limiter, delay_s, place, self.note, within_s))
+            assume_notified_after_s = plan.discovery.told_within_s
+            address = functools.partial(self.server_address, limiter=limiter)
+            self.agents.append(
+                Agent(self.loop, limiter, delay_s, address, self.note, assume_notified_after_s)
+            )
             await self.agents[limiter].start()
         if plan.counter.present:
-            told = plan.counter
-            self.counter = Counter(self.loop, told.parts, told.per_s, told.line, self.answer_lost)
+            counter_plan = plan.counter
+            self.counter = Counter(
+                self.loop, counter_plan.parts, counter_plan.per_s, counter_plan.line, self.is_answer_lost
+            )
             await self.counter.start(limiters)
             if any(isinstance(f, plans.CounterFault) and f.mode == "snapshot" for f in plan.fault):
-                self.counter.keep()
+                self.counter.take_snapshots()
         peers: list[list[str]] = []
         if plan.peers.allowed:
-            least_ms, most_ms = plan.peers.delay_ms
-            drawn = functools.partial(draw.uniform, seed)
-            self.post = Post(self.loop, plan.peers.loss, (least_ms / 1000, most_ms / 1000), drawn)
-            peers = await self.post.start(word_ports)
+            min_ms, max_ms = plan.peers.delay_ms
+            random = functools.partial(draw.uniform, seed)
+            self.datagrams = DatagramRelay(self.loop, plan.peers.loss, (min_ms / 1000, max_ms / 1000), random)
+            peers = await self.datagrams.start(peer_ports)
         for fault in plan.fault:
             if isinstance(fault, plans.Link):
-                await self.proxy(fault)
+                await self.create_proxy(fault)
         self.fleet.agents = self.agents
         self.fleet.add(*(self.entry(server) for server in self.servers))
         return {
             "discovery": [self.discovery_port(n) for n in range(limiters)],
             "counter": [self.counter_port(n) for n in range(limiters)],
-            "fronts": [self.front_port(n) for n in range(limiters)],
-            "known": [self.agents[n].known() for n in range(limiters)],
+            "fronts": [self.desk_port(n) for n in range(limiters)],
+            "known": [self.agents[n].known_list() for n in range(limiters)],
             "peers": peers,
         }
 
@@ -109,17 +115,19 @@
             for limiter, calls in enumerate(self.counter.calls):
                 self.note({"e": "counts", "t": Place.clock_ns(), "l": limiter, "calls": calls})
             self.counter.close()
-        if self.post:
-            figures = zip(self.post.sent, self.post.largest, self.post.busiest, strict=True)
+        if self.datagrams:
+            figures = zip(
+                self.datagrams.sent, self.datagrams.largest_bytes, self.datagrams.busiest_second, strict=True
+            )
             for limiter, (sent, largest, busiest) in enumerate(figures):
                 self.note({"e": "words", "t": Place.clock_ns(), "l": limiter, "sent": sent,
                            "largest": largest, "busiest": busiest})  # fmt: skip
-            self.post.close()
+            self.datagrams.close()
 
     # Who is where
 
-    def server_id(self, index: int, life: int) -> str:
-        return f"s-{index:02d}-{int(draw.uniform(self.seed, 'id', index, life) * (1 << 32)):08x}"
+    def server_id(self, index: int, incarnation: int) -> str:
+        return f"s-{index:02d}-{int(draw.uniform(self.seed, 'id', index, incarnation) * (1 << 32)):08x}"
 
     def entry(self, server: Server, lifecycle: str = "SERVING") -> dict[str, Any]:
         return {
@@ -130,10 +138,10 @@
             "cell": server.index // 4,
             "lifecycle": lifecycle,
             "weight": float(server.model.cores),
-            "startedAtMs": server.born_ms,
+            "startedAtMs": server.started_ms,
         }
 
-    def place(self, entry: dict[str, Any], limiter: int) -> str:
+    def server_address(self, entry: dict[str, Any], limiter: int) -> str:
         index = entry["index"]
         proxy = self.proxies.get(("server", limiter, index))
         return f"{Place.host}:{proxy.port if proxy else self.servers[index].ports[limiter]}"
@@ -146,11 +154,11 @@
         proxy = self.proxies.get(("counter", limiter, 0))
         return proxy.port if proxy else (self.counter.ports[limiter] if self.counter else 0)
 
-    def front_port(self, limiter: int) -> int:
+    def desk_port(self, limiter: int) -> int:
         proxy = self.proxies.get(("desks", limiter, 0))
         return proxy.port if proxy else self.limiter_ports[limiter]
 
-    async def proxy(self, fault: plans.Link) -> None:
+    async def create_proxy(self, fault: plans.Link) -> None:
         limiter, server = fault.limiter, fault.server or 0
         key = (fault.to, limiter, server if fault.to == "server" else 0)
         if key in self.proxies:
@@ -166,7 +174,7 @@
 
     # What requests are
 
-    def look_up(self, id: str) -> Told | None:
+    def look_up(self, id: str) -> RequestSpec | None:
         """What the plan says of a request that came to a server; None if no client sent it."""
         found = draw.request_of(self.seed, id)
         if found is None or found[0] >= len(self.arrivals):
@@ -174,43 +182,43 @@
         arrival = self.arrivals[found[0]]
         work_ms = round(draw.work_ms(self.plan, self.seed, arrival.kind, arrival.units, arrival.number), 3)
         share = self.plan.fleet.error_share
-        return Told(
+        return RequestSpec(
             work_s=work_ms / 1000,
             unsafe=self.plan.classes[arrival.kind].repeat != "safe",
             fails=share > 0 and draw.uniform(self.seed, "error", id) < share,
         )
 
-    def answer_lost(self) -> bool:
+    def is_answer_lost(self) -> bool:
         share = self.plan.counter.lost_share
         if share <= 0:
             return False
-        self.lost += 1
-        return draw.uniform(self.seed, "lost", self.lost) < share
+        self.answer_count += 1
+        return draw.uniform(self.seed, "lost", self.answer_count) < share
 
     # The timeline
 
-    def begin(self, start_ns: int) -> None:
+    def schedule_faults(self, start_ns: int) -> None:
         self.start_ns = start_ns
         for number, fault in enumerate(self.plan.fault):
             if fault.at_s is not None:
-                self.later(fault.at_s, number)
+                self.schedule_fault(fault.at_s, number)
 
-    def later(self, at_s: float, number: int) -> None:
+    def schedule_fault(self, at_s: float, number: int) -> None:
         wait_s = (self.start_ns - Place.clock_ns()) / 1e9 + at_s
-        self.loop.call_later(max(0.0, wait_s), self.go, number, None)
+        self.loop.call_later(max(0.0, wait_s), self.start_fault, number, None)
 
-    def happened(self, event: str, server: Server, job: Job) -> None:
+    def on_server_event(self, event: str, server: Server, job: Job) -> None:
         """An event at a server: it may be what a fault waits for."""
-        if not self.waiting or not self.start_ns:
+        if not self.pending_faults or not self.start_ns:
             return
         now_s = (Place.clock_ns() - self.start_ns) / 1e9
-        for number in list(self.waiting):
+        for number in list(self.pending_faults):
             when = self.plan.fault[number].when
             if when and when.event == event and now_s >= when.after_s and when.server in (None, server.index):
-                self.waiting.remove(number)
-                self.go(number, server, job)
+                self.pending_faults.remove(number)
+                self.start_fault(number, server, job)
 
-    def go(self, number: int, server: Server | None, job: Job | None = None) -> None:
+    def start_fault(self, number: int, server: Server | None, job: Job | None = None) -> None:
         """Begin a fault at once; what takes time goes on by itself."""
         fault = self.plan.fault[number]
         targets = self.targets(number, server)
@@ -219,14 +227,14 @@
                 target.stop("killed")
         if isinstance(fault, plans.Limiter) and job is not None:
             fault = msgspec.structs.replace(fault, limiter=job.limiter)  # the one that sent it
-        task = self.loop.create_task(self.do(fault, targets))
+        task = self.loop.create_task(self.run_fault(fault, targets))
         self.tasks.add(task)
-        task.add_done_callback(self.done)
+        task.add_done_callback(self.on_fault_done)
 
-    def done(self, task: asyncio.Task[None]) -> None:
+    def on_fault_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
-            self.tell(ev="failed", why=f"a fault of the timeline: {type(error).__name__}: {error}")
+            self.send_event(ev="failed", why=f"a fault of the timeline: {type(error).__name__}: {error}")
 
     def targets(self, number: int, server: Server | None) -> list[Server]:
         fault = self.plan.fault[number]
@@ -238,46 +246,46 @@
             self.servers[n] for n in draw.chosen(self.plan, self.seed, number, fault.servers, fault.share)
         ]
 
-    def mark(self, text: str) -> None:
+    def record_fault(self, text: str) -> None:
         self.note({"e": "fault", "t": Place.clock_ns(), "text": text})
-        self.tell(ev="fault", text=text)
+        self.send_event(ev="fault", text=text)
 
-    async def do(self, fault: plans.Fault, targets: list[Server]) -> None:
-        who = ", ".join(str(server.index) for server in targets)
+    async def run_fault(self, fault: plans.Fault, targets: list[Server]) -> None:
+        indexes = ", ".join(str(server.index) for server in targets)
         if isinstance(fault, plans.Kill):
-            self.mark(f"servers {who} killed")
-            await asyncio.gather(*(self.bury(server, fault) for server in targets))
+            self.record_fault(f"servers {indexes} killed")
+            await asyncio.gather(*(self.restart_killed(server, fault) for server in targets))
         elif isinstance(fault, plans.Slow):
             factors = [draw.between(*fault.times, self.seed, "slow", s.index) for s in targets]
-            self.mark(f"servers {who} slow ({', '.join(f'{f:.1f}x' for f in factors)})")
+            self.record_fault(f"servers {indexes} slow ({', '.join(f'{f:.1f}x' for f in factors)})")
             for server, factor in zip(targets, factors, strict=True):
                 server.slowness = factor
             await asyncio.sleep(fault.for_s)
             for server in targets:
                 server.slowness = 1.0
-            self.mark(f"servers {who} as fast as before")
+            self.record_fault(f"servers {indexes} as fast as before")
         elif isinstance(fault, plans.Drain):
-            self.mark(f"servers {who} draining")
+            self.record_fault(f"servers {indexes} draining")
             for server in targets:
                 server.draining = True
                 self.fleet.change(server.id, **self.entry(server, "DRAINING"))
             await asyncio.sleep(fault.for_s)
             for server in targets:
                 server.stop("restarted")
-                await self.revive(server, False)
-            self.mark(f"servers {who} back, cold")
+                await self.restart_server(server, False)
+            self.record_fault(f"servers {indexes} back, cold")
         elif isinstance(fault, plans.Limiter):
-            await self.signal(fault)
+            await self.signal_limiter(fault)
         elif isinstance(fault, plans.CounterFault):
-            await self.disturb_counter(fault)
+            await self.run_counter_fault(fault)
         elif isinstance(fault, plans.PeersFault):
-            await self.disturb_peers(fault)
+            await self.run_peers_fault(fault)
         elif isinstance(fault, plans.DiscoveryFault):
-            await self.disturb_discovery(fault)
+            await self.run_discovery_fault(fault)
         elif isinstance(fault, plans.Link):
-            await self.disturb_link(fault)
+            await self.run_link_fault(fault)
 
-    async def bury(self, server: Server, fault: plans.Kill) -> None:
+    async def restart_killed(self, server: Server, fault: plans.Kill) -> None:
         """Discovery notices late that a server has died, or that it is back before it noticed."""
         old = server.id
         notice_s = draw.between(*self.plan.fleet.delete_s, self.seed, "notice", server.index)
@@ -290,58 +298,58 @@
             await asyncio.sleep(back_s - notice_s)
         else:
             await asyncio.sleep(back_s)
-        await self.revive(server, fault.replaced)
+        await self.restart_server(server, fault.replaced)
         if server.id != old and old in self.fleet.entries:
             self.fleet.change(old, **{**self.entry(server, "DELETED"), "instanceId": old})
-        self.mark(f"server {server.index} back, cold")
+        self.record_fault(f"server {server.index} back, cold")
 
-    async def revive(self, server: Server, replaced: bool) -> None:
-        id = self.server_id(server.index, server.life) if replaced else server.id
+    async def restart_server(self, server: Server, replaced: bool) -> None:
+        id = self.server_id(server.index, server.incarnation) if replaced else server.id
         await server.start(id, self.plan.limiters.count, cold=True)
-        await asyncio.sleep(NEW_START_S)
+        await asyncio.sleep(REGISTRATION_DELAY_S)
         self.fleet.change(server.id, **self.entry(server))
 
-    async def signal(self, fault: plans.Limiter) -> None:
-        told: dict[str, Any] = {}
+    async def signal_limiter(self, fault: plans.Limiter) -> None:
+        addresses: dict[str, Any] = {}
         n = fault.limiter
         if fault.signal == "HUP":
-            await self.agents[n].move()
+            await self.agents[n].change_address()
             if self.counter:
-                await self.counter.move(n)
-            told = {"discovery": self.discovery_port(n), "counter": self.counter_port(n)}
-        self.mark(f"limiter {n}: {fault.signal}")
-        self.tell(ev="limiter", l=n, signal=fault.signal, back_s=fault.back_s, **told)
+                await self.counter.change_address(n)
+            addresses = {"discovery": self.discovery_port(n), "counter": self.counter_port(n)}
+        self.record_fault(f"limiter {n}: {fault.signal}")
+        self.send_event(ev="limiter", l=n, signal=fault.signal, back_s=fault.back_s, **addresses)
 
-    async def disturb_counter(self, fault: plans.CounterFault) -> None:
+    async def run_counter_fault(self, fault: plans.CounterFault) -> None:
         if self.counter is None:
             return
-        self.mark(f"counter {fault.mode}")
-        await self.counter.set(fault.mode, fault.late_ms / 1000, fault.age_s, fault.sides)
+        self.record_fault(f"counter {fault.mode}")
+        await self.counter.set_mode(fault.mode, fault.late_ms / 1000, fault.age_s, fault.sides)
         if fault.mode not in ("fresh", "snapshot"):
             left_s = fault.for_s
             while fault.flaps and left_s > fault.flap_s:
                 await asyncio.sleep(fault.flap_s)
                 left_s -= fault.flap_s
                 for limiter in fault.flaps:
-                    self.counter.flap(limiter)
-                self.mark(f"counter: limiters {', '.join(map(str, fault.flaps))} change sides")
+                    self.counter.switch_side(limiter)
+                self.record_fault(f"counter: limiters {', '.join(map(str, fault.flaps))} change sides")
             await asyncio.sleep(left_s)
-            await self.counter.set("ok")
-            self.mark("counter well again")
+            await self.counter.set_mode("ok")
+            self.record_fault("counter well again")
 
-    async def disturb_peers(self, fault: plans.PeersFault) -> None:
-        if self.post is None:
+    async def run_peers_fault(self, fault: plans.PeersFault) -> None:
+        if self.datagrams is None:
             return
         alone = [(limiter,) for limiter in range(self.plan.limiters.count)]
-        self.post.sides = tuple(frozenset(side) for side in fault.sides or alone)
-        self.mark("datagrams between limiters cut")
+        self.datagrams.partitions = tuple(frozenset(side) for side in fault.sides or alone)
+        self.record_fault("datagrams between limiters cut")
         await asyncio.sleep(fault.for_s)
-        self.post.sides = ()
-        self.mark("datagrams between limiters go again")
+        self.datagrams.partitions = ()
+        self.record_fault("datagrams between limiters go again")
 
-    async def disturb_discovery(self, fault: plans.DiscoveryFault) -> None:
+    async def run_discovery_fault(self, fault: plans.DiscoveryFault) -> None:
         agents = self.agents if fault.limiter is None else [self.agents[fault.limiter]]
-        self.mark(f"discovery {fault.mode}")
+        self.record_fault(f"discovery {fault.mode}")
         for agent in agents:
             agent.set_silent(True)
             if fault.mode == "down":
@@ -351,24 +359,24 @@
             if fault.mode == "down":
                 await agent.start(agent.port)
             agent.set_silent(False)
-        self.mark("discovery well again")
+        self.record_fault("discovery well again")
 
-    async def disturb_link(self, fault: plans.Link) -> None:
+    async def run_link_fault(self, fault: plans.Link) -> None:
         key = (fault.to, fault.limiter, (fault.server or 0) if fault.to == "server" else 0)
         proxy = self.proxies[key]
-        what = f"server {fault.server}" if fault.to == "server" else fault.to
-        self.mark(f"link of limiter {fault.limiter} to {what}: {fault.mode}")
+        target = f"server {fault.server}" if fault.to == "server" else fault.to
+        self.record_fault(f"link of limiter {fault.limiter} to {target}: {fault.mode}")
         if fault.to == "desks":
             until_ns = Place.clock_ns() + round((fault.for_s + 1) * 1e9)
             excuse = {"e": "excuse", "t": Place.clock_ns(), "l": fault.limiter, "until": until_ns}
             self.note(excuse | ({"garbled": True} if fault.mode == "garbage" else {}))
-        proxy.set(fault.mode, fault.delay_ms / 1000, fault.byte)
+        proxy.set_mode(fault.mode, fault.delay_ms / 1000, fault.byte)
         await asyncio.sleep(fault.for_s)
-        proxy.set("pass")
-        self.mark(f"link of limiter {fault.limiter} to {what} well again")
+        proxy.set_mode("pass")
+        self.record_fault(f"link of limiter {fault.limiter} to {target} well again")
 
 
-class Work:
+class WorldWorker:
     """The orders of the orchestrator to this process."""
 
     world: World
@@ -384,9 +392,9 @@
             orders.tell(ev="ready", **await self.world.start(order["limiters"], order["words"]))
             self.lag = Lag(self.world.loop, "world", self.world.note)
         elif order["op"] == "go":
-            self.world.begin(order["start_ns"])
+            self.world.schedule_faults(order["start_ns"])
         elif order["op"] == "known":
-            known = self.world.agents[order["l"]].known(told=True)
+            known = self.world.agents[order["l"]].known_list(notified=True)
             orders.tell(ev="known", l=order["l"], known=known)
         elif order["op"] == "end":
             self.lag.close()
@@ -398,4 +406,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(work("world", Work().take))
+    sys.exit(work("world", WorldWorker().take))
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -5,7 +5,7 @@
 
 import pytest
 import uvloop
-from world import Client, World, hold, query, serve, submit, until
+from world import Client, World, query, reply_when_released, serve, submit, until
 
 from hookport import clients, resp
 
@@ -97,7 +97,7 @@
 
 def test_what_is_open_on_a_connection_that_is_broken_off_fails_at_once() -> None:
     async def scenario() -> None:
-        async with World(hold, hold) as world:
+        async with World(reply_when_released, reply_when_released) as world:
             client, node = await (await world.start()).client(), world.node
             client.send(*submit(1))
             client.send(b"PING")
@@ -114,7 +114,7 @@
 def test_an_id_that_is_open_or_was_is_not_taken_again() -> None:
     # Guards against two attempts under one id, which a server cannot tell from one effect twice.
     async def scenario() -> None:
-        async with World(hold) as world:
+        async with World(reply_when_released) as world:
             client, thief = await (await world.start()).client(), await world.client()
             client.send(*query(1))
             await until(lambda: world.stubs[0].commands)
--- a/tests/test_bad_servers.py
+++ b/tests/test_bad_servers.py
@@ -6,7 +6,19 @@
 
 import pytest
 import uvloop
-from world import VALUE, Stub, World, instance, list_update, never, saying, serve, soon, submit, until
+from world import (
+    VALUE,
+    Stub,
+    World,
+    instance,
+    list_update,
+    never_reply,
+    reply_with,
+    serve,
+    submit,
+    until,
+    within_timeout,
+)
 
 from aniseshed.interface import Outcome
 from hookport import counter, resp, servers
@@ -38,7 +50,7 @@
 
 def test_a_report_that_cannot_be_read_harms_no_value() -> None:
     async def scenario() -> None:
-        async with World(saying(b"*3\r\n$5\r\nvalue\r\n$3\r\n\xff\xfe\xfd\r\n:9\r\n")) as world:
+        async with World(reply_with(b"*3\r\n$5\r\nvalue\r\n$3\r\n\xff\xfe\xfd\r\n:9\r\n")) as world:
             client = await (await world.start()).client()
             assert await client.ask(*submit()) == b"value"
 
@@ -85,7 +97,7 @@
 ) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(servers, "STALL_S", 0.02)
-        async with World(saying(text)) as world:
+        async with World(reply_with(text)) as world:
             client = await (await world.start()).client()
             assert str(await client.ask(*submit())) == "ERR failed"
             assert "half an answer" in caplog.text
@@ -143,14 +155,14 @@
 @pytest.mark.parametrize("text", [b"$9\r\n12", b"+what", b"-WHAT\r\n", b"$3\r\nabc\r\n", b"$900\r\n"])
 def test_a_spoilt_total_may_have_been_added_and_its_connection_goes(text: bytes) -> None:
     async def scenario() -> None:
-        async with World(serve, count=saying(text)) as world:
+        async with World(serve, count=reply_with(text)) as world:
             node = (await world.start()).node
             assert node and node.counter
             ends: list[Outcome] = []
             node.counter.ended = lambda call, outcome, total: ends.append(outcome)
             node.counter.call(5, 1.0, 1000)
             await until(lambda: ends)
-            world.counter.handler = saying(b"$1\r\n7\r\n")
+            world.counter.handler = reply_with(b"$1\r\n7\r\n")
             await until(lambda: world.counter.closed)
             node.counter.call(5, 1.0, 1000)
             await until(lambda: len(ends) == 2)
@@ -161,7 +173,7 @@
 
 def test_a_silent_counter_connection_is_left_soon_and_a_silent_counter_not_pestered() -> None:
     async def scenario() -> None:
-        stub = await Stub(never).start()
+        stub = await Stub(never_reply).start()
         ends: list[Outcome] = []
         calls = counter.Counter(
             asyncio.get_running_loop(), ("127.0.0.1", stub.port), 0.01, 5.0,
@@ -174,10 +186,10 @@
                 calls.call(1, 1.0, 10**9)
                 await asyncio.sleep(0.01)
 
-        await soon(call())
+        await within_timeout(call())
         assert calls.stuck_s >= 4 * first_s  # each silent one in a row is waited for longer
         calls.close()
-        stub.die()
+        stub.kill()
 
     run(scenario)
 
@@ -185,7 +197,7 @@
 def test_a_value_larger_than_any_that_clients_send_goes_on() -> None:
     async def scenario() -> None:
         value = b"x" * 400_000
-        async with World(saying(b"*3\r\n$400000\r\n%s\r\n$-1\r\n$-1\r\n" % value)) as world:
+        async with World(reply_with(b"*3\r\n$400000\r\n%s\r\n$-1\r\n$-1\r\n" % value)) as world:
             client = await (await world.start()).client()
             assert await client.ask(*submit()) == value
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -17,7 +17,7 @@
 from helpers import MS, SECOND, SETTINGS, Bench
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from world import Handler, Stub, World, query, serve, soon, until
+from world import Handler, Stub, World, query, serve, until, within_timeout
 
 from aniseshed import interface as api
 from hookport.limits import Ledger, Users
@@ -132,7 +132,7 @@
             ):  # fmt: skip
                 reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
                 writer.write(hiredis.pack_command(words))  # type: ignore[arg-type,no-untyped-call]
-                assert await soon(reader.readline()) == reply
+                assert await within_timeout(reader.readline()) == reply
                 writer.close()
 
     asyncio.run(scenario())
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -14,7 +14,19 @@
 from pathlib import Path
 
 import pytest
-from world import Discovery, World, instance, list_update, never, query, saying, serve, soon, submit, until
+from world import (
+    Discovery,
+    World,
+    instance,
+    list_update,
+    never_reply,
+    query,
+    reply_with,
+    serve,
+    submit,
+    until,
+    within_timeout,
+)
 
 from aniseshed.interface import Health, ServerEntry, Trust
 from hookport import config
@@ -129,7 +141,7 @@
 
 def test_a_black_hole_and_noise_on_the_list_cost_their_share_and_no_more(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with World(serve, saying(b"220 mail ready\r\n"), never) as world:
+        async with World(serve, reply_with(b"220 mail ready\r\n"), never_reply) as world:
             keep(tmp_path / "k", world, 86_400)
             await dark(world, tmp_path / "k").start()
             client = await world.client()
@@ -145,7 +157,7 @@
 @pytest.mark.parametrize("pong", [b"+PONG\r\n", b"-ERR not ready\r\n"])
 def test_probes_prove_servers_where_the_settings_allow_them(tmp_path: Path, pong: bytes) -> None:
     async def scenario() -> None:
-        async with World(saying(pong)) as world:
+        async with World(reply_with(pong)) as world:
             keep(tmp_path / "k", world, 3600)
             await dark(world, tmp_path / "k").start()
             assert world.node and world.node.members
@@ -247,9 +259,9 @@
             process.send_signal(signal.SIGUSR1)
             text = b""
             while b"trusted=1" not in text:
-                text += await soon(process.stderr.readline())
+                text += await within_timeout(process.stderr.readline())
             process.send_signal(signal.SIGTERM)
-            assert await soon(process.wait()) == 0
+            assert await within_timeout(process.wait()) == 0
 
     asyncio.run(scenario())
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -9,7 +9,7 @@
 
 import hiredis
 import pytest
-from world import VALUE, Stub, World, query, saying, serve, soon, submit, until
+from world import VALUE, Stub, World, query, reply_with, serve, submit, until, within_timeout
 
 
 async def hold_orders(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
@@ -20,7 +20,7 @@
 
 def test_a_life_from_start_to_sigterm(tmp_path: pathlib.Path) -> None:
     async def scenario() -> None:
-        busy = saying(b"-BUSY\r\n")
+        busy = reply_with(b"-BUSY\r\n")
         async with World(hold_orders, hold_orders, count=busy, perSecond=0.01, storeSize=4.0) as world:
             await world.spawn(tmp_path)
             assert world.process
@@ -36,7 +36,7 @@
             client.send(*submit(20))
             await until(lambda: any(s.commands and s.commands[-1][0] == b"SVC.SUBMIT" for s in world.stubs))
             victim = next(s for s in world.stubs if s.commands and s.commands[-1][0] == b"SVC.SUBMIT")
-            victim.die()
+            victim.kill()
             assert str(await client.answer()) == "ERR failed"
             for n in range(30, 36):
                 assert await client.ask(*query(n, customer=n)) == b"value"
@@ -46,7 +46,7 @@
             await until(lambda: other.commands[-1][2] == b"%016x" % 40)
             world.process.send_signal(signal.SIGTERM)
             assert world.process.stderr
-            while b"shutting down" not in await soon(world.process.stderr.readline()):
+            while b"shutting down" not in await within_timeout(world.process.stderr.readline()):
                 pass
             late = await world.client()
             assert await late.ask(*query(41, customer=50)) == b"value"
@@ -56,7 +56,7 @@
             assert await client.answer() == b"value"
             with pytest.raises(EOFError):
                 await client.answer()
-            assert await soon(world.process.wait()) == 0
+            assert await within_timeout(world.process.wait()) == 0
 
     asyncio.run(scenario())
 
@@ -84,6 +84,6 @@
             for client in clients:
                 with pytest.raises(EOFError):
                     await client.answer()
-            assert await soon(world.process.wait()) == 0
+            assert await within_timeout(world.process.wait()) == 0
 
     asyncio.run(scenario())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -5,7 +5,19 @@
 import pathlib
 import signal
 
-from world import Discovery, Stub, World, hold, instance, list_update, query, saying, serve, soon, until
+from world import (
+    Discovery,
+    Stub,
+    World,
+    instance,
+    list_update,
+    query,
+    reply_when_released,
+    reply_with,
+    serve,
+    until,
+    within_timeout,
+)
 
 from aniseshed.interface import Counted, Outcome
 from hookport import config
@@ -13,7 +25,7 @@
 
 def test_a_move_drops_no_request_no_server_and_no_warm_connection() -> None:
     async def scenario() -> None:
-        async with World(hold) as world:
+        async with World(reply_when_released) as world:
             node, new = (await world.start()).node, await Discovery().start()
             assert node
             await until(lambda: world.discovery.watches)
@@ -45,7 +57,7 @@
 def test_calls_at_the_old_counter_end_once_and_later_ones_go_to_the_new() -> None:
     async def scenario() -> None:
         async with World(serve, count=silent) as world:
-            node, new = (await world.start()).node, await Stub(saying(b"$1\r\n2\r\n")).start()
+            node, new = (await world.start()).node, await Stub(reply_with(b"$1\r\n2\r\n")).start()
             assert node and node.counter
             events: list[Counted] = []
             node.feed = events.append  # type: ignore[assignment,method-assign]
@@ -60,7 +72,7 @@
             assert (events[1].outcome, events[1].total) == (Outcome.OK, 2.0)
             assert len(world.counter.commands) == 1 and len(new.commands) == 1
             await until(lambda: world.counter.closed)  # the old connection is not kept
-            new.die()
+            new.kill()
 
     asyncio.run(scenario())
 
@@ -88,7 +100,9 @@
             for text in ("", "{}", json.dumps({**good, "counter": "nowhere"})):
                 path.write_text(text)
                 process.send_signal(signal.SIGHUP)
-                while b"keeping the old configuration" not in (line := await soon(process.stderr.readline())):
+                while b"keeping the old configuration" not in (
+                    line := await within_timeout(process.stderr.readline())
+                ):
                     assert line, "it ended on a bad file"
             assert not new.requests
             path.write_text(json.dumps(good))
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -10,13 +10,13 @@
     VALUE,
     Stub,
     World,
-    hold,
     instance,
     list_update,
-    never,
+    never_reply,
     query,
+    reply_when_released,
+    reply_with,
     reset,
-    saying,
     serve,
     submit,
     until,
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("noise", [b"GET / HTTP/1.1\r\n\r\n", b"*-7\r\n", b"*4000000000\r\n", b"$-9\r\n"])
 def test_a_stream_that_is_no_resp_is_closed_whatever_was_asked_before(noise: bytes) -> None:
     async def scenario() -> None:
-        async with World(hold) as world:
+        async with World(reply_when_released) as world:
             client = await (await world.start()).client()
             client.send(*query())
             await until(lambda: sent(world))
@@ -127,7 +127,7 @@
 
 def test_answers_come_in_the_order_of_the_commands() -> None:
     async def scenario() -> None:
-        async with World(hold, hold) as world:
+        async with World(reply_when_released, reply_when_released) as world:
             client = await (await world.start()).client()
             client.send(*query(1))
             client.send(b"PING")
@@ -179,14 +179,14 @@
     # Guards against a machine that vanished in silence swallowing one request for each open connection.
     async def scenario() -> None:
         monkeypatch.setattr(servers, "REST_S", -1.0)
-        async with World(hold) as world:
+        async with World(reply_when_released) as world:
             client = await (await world.start()).client()
             client.send(*submit(1))
             client.send(*submit(2))
             await until(lambda: len(sent(world)) == 2)
             world.stubs[0].release.set()
             assert [await client.answer() for _ in range(2)] == [b"value"] * 2
-            world.stubs[0].handler = never
+            world.stubs[0].handler = never_reply
             assert str(await client.ask(*submit(3, wait_ms=200))) == "ERR failed"
             await until(lambda: world.stubs[0].closed == 2)
 
@@ -221,7 +221,7 @@
 def test_a_refused_connection_never_ran_and_is_tried_elsewhere() -> None:
     async def scenario() -> None:
         async with World(serve, serve) as world:
-            world.stubs[0].die()
+            world.stubs[0].kill()
             client = await (await world.start()).client()
             for n in range(4):
                 assert await client.ask(*submit(n)) == b"value"
@@ -278,7 +278,7 @@
 )
 def test_garbage_from_a_server_ends_the_attempt_and_its_connection(text: bytes) -> None:
     async def scenario() -> None:
-        async with World(saying(text)) as world:
+        async with World(reply_with(text)) as world:
             client = await (await world.start()).client()
             assert str(await client.ask(*submit())) == "ERR failed"
             await until(lambda: world.stubs[0].closed == 1)
@@ -290,7 +290,7 @@
 
 def test_more_than_an_answer_is_not_given_to_the_next_request() -> None:
     async def scenario() -> None:
-        async with World(saying(VALUE + VALUE.replace(b"value", b"other"))) as world:
+        async with World(reply_with(VALUE + VALUE.replace(b"value", b"other"))) as world:
             client = await (await world.start()).client()
             for n in range(3):
                 assert await client.ask(*submit(n)) == b"value"
@@ -301,11 +301,11 @@
 
 def test_a_server_that_turns_away_leads_to_another_or_to_a_refusal() -> None:
     async def scenario() -> None:
-        async with World(saying(b"-BUSY\r\n"), serve) as world:
+        async with World(reply_with(b"-BUSY\r\n"), serve) as world:
             client = await (await world.start()).client()
             for n in range(4):
                 assert await client.ask(*submit(n)) == b"value"
-        async with World(saying(b"-BUSY\r\n")) as world:
+        async with World(reply_with(b"-BUSY\r\n")) as world:
             client = await (await world.start()).client()
             assert str(await client.ask(*submit())).startswith("BUSY")
 
@@ -314,7 +314,7 @@
 
 def test_a_silent_server_costs_an_answer_in_time_and_its_connection() -> None:
     async def scenario() -> None:
-        async with World(never) as world:
+        async with World(never_reply) as world:
             client = await (await world.start()).client()
             assert str(await client.ask(*submit(wait_ms=300))) == "ERR failed"
             await until(lambda: world.stubs[0].closed == 1)
@@ -327,7 +327,7 @@
     # Guards against a request whose deadline lies beyond the time that a stopping process is let live.
     async def scenario() -> None:
         monkeypatch.setattr(node, "KILL_AFTER_NS", 0)
-        async with World(never) as world:
+        async with World(never_reply) as world:
             client = await (await world.start()).client()
             client.send(*submit(wait_ms=6000))
             await until(lambda: sent(world))
@@ -356,7 +356,7 @@
 
 def test_a_client_that_goes_away_frees_what_it_held() -> None:
     async def scenario() -> None:
-        async with World(hold) as world:
+        async with World(reply_when_released) as world:
             client = await (await world.start()).client()
             client.send(*submit())
             await until(lambda: sent(world))
@@ -392,7 +392,7 @@
 
 def test_a_late_answer_of_the_counter_is_not_given_to_the_next_caller() -> None:
     async def scenario() -> None:
-        stub = await Stub(never).start()
+        stub = await Stub(never_reply).start()
         ends: list[tuple[int, Outcome, float]] = []
         loop = asyncio.get_running_loop()
         calls = counter.Counter(
@@ -413,15 +413,15 @@
         await until(lambda: len(ends) == 3 and not calls.left)
         assert ends.pop() == (1, Outcome.OK, 1.0)
         # nothing added and may have been added are told apart
-        stub.handler = saying(b"-BUSY\r\n")
+        stub.handler = reply_with(b"-BUSY\r\n")
         calls.call(3, 1.0, 10**9)
         await until(lambda: len(ends) == 3)
         for text in (b"$3\r\nabc\r\n", b"nonsense\r\n", b"$3\r\nnan\r\n", b"*1\r\n:1\r\n"):
-            stub.handler = saying(text)
+            stub.handler = reply_with(text)
             calls.call(4, 1.0, 10**9)
             await until(lambda: ends[-1][0] == 4)
             assert ends.pop()[1] is Outcome.TIMEOUT
-        stub.die()
+        stub.kill()
         await until(lambda: calls.line is None)
         calls.call(5, 1.0, 10**9)
         await until(lambda: len(ends) == 4)
@@ -434,7 +434,7 @@
 def test_a_connection_to_a_counter_that_went_silent_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(counter, "STUCK_S", 0.0)
-        stub = await Stub(never).start()
+        stub = await Stub(never_reply).start()
         ends: list[Outcome] = []
         loop = asyncio.get_running_loop()
         calls = counter.Counter(
@@ -442,14 +442,14 @@
         )
         calls.call(1, 1.0, 10**9)
         await until(lambda: stub.commands)
-        stub.handler = saying(b"$1\r\n7\r\n")
+        stub.handler = reply_with(b"$1\r\n7\r\n")
         calls.call(1, 1.0, 10**9)
         await until(lambda: ends)
         assert ends == [Outcome.OK] and len(calls.left) == 1 and len(stub.writers) == 2
         calls.drop_left(calls.left[0])
         assert ends == [Outcome.OK, Outcome.TIMEOUT] and not calls.left
         calls.close()
-        stub.die()
+        stub.kill()
 
     run(scenario)
 
@@ -541,7 +541,7 @@
 
 def test_a_client_that_does_not_read_is_not_read_either() -> None:
     async def scenario() -> None:
-        async with World(saying(b"*3\r\n$60000\r\n" + b"v" * 60000 + b"\r\n$-1\r\n$-1\r\n")) as world:
+        async with World(reply_with(b"*3\r\n$60000\r\n" + b"v" * 60000 + b"\r\n$-1\r\n$-1\r\n")) as world:
             client = await (await world.start()).client()
             transport = client.writer.transport
             transport.pause_reading()  # type: ignore[attr-defined]
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -12,9 +12,9 @@
 import uvloop
 
 from hookport.rehearsal.loops import Place, free_ports, own_host
-from hookport.rehearsal.scripted import Client, soon, until
-from hookport.rehearsal.standins import Agent, Counter, Fleet, Model, Post, Proxy, Server
-from hookport.rehearsal.standins.server import Told
+from hookport.rehearsal.scripted import Client, until, within_timeout
+from hookport.rehearsal.standins import Agent, Counter, DatagramRelay, Fleet, Model, Proxy, Server
+from hookport.rehearsal.standins.server import RequestSpec
 
 Row = dict[str, Any]
 
@@ -34,13 +34,13 @@
         self.rows: list[Row] = []
         self.events: list[str] = []
         self.kill_at = ""
-        told = Model(**{"cores": 1, "queue": 1, "speed": 1.0, **model})
+        told = Model(**{"cores": 1, "queue_capacity": 1, "speed": 1.0, **model})
         self.server = Server(asyncio.get_running_loop(), 0, told, self.look_up, self.rows.append, self.hook)
 
-    def look_up(self, id: str) -> Told | None:
+    def look_up(self, id: str) -> RequestSpec | None:
         if id[:1] not in ("w", "c"):
             return None
-        return Told(work_s=int(id[1:].split("-")[0]) / 1000, unsafe=id[0] == "c", fails=False)
+        return RequestSpec(work_s=int(id[1:].split("-")[0]) / 1000, unsafe=id[0] == "c", fails=False)
 
     def hook(self, event: str, server: Server, job: Any) -> None:
         self.events.append(event)
@@ -126,7 +126,7 @@
         await until(lambda: not desk.server.connections)
         other = await desk.client()
         await other.ask(*ask("w1"))  # waits its turn behind what still runs
-        await until(lambda: not desk.server.running and not desk.server.waiting)
+        await until(lambda: not desk.server.running and not desk.server.queue)
         assert len(desk.kinds("effect")) == effects
         desk.server.stop("the end")
 
@@ -149,7 +149,14 @@
 
 def test_a_cold_server_is_slower_and_falls_over_when_it_gets_too_much() -> None:
     async def scenario() -> None:
-        desk = Desk(queue=100, cold_from=0.1, cold_s=1000.0, fall_multiple=2.0, fall_s=1.0, mean_work_s=0.01)
+        desk = Desk(
+            queue_capacity=100,
+            cold_capacity_share=0.1,
+            warm_up_s=1000.0,
+            overload_multiple=2.0,
+            overload_window_s=1.0,
+            mean_work_s=0.01,
+        )
         client = await desk.start(cold=True)
         before = time.monotonic()
         await client.ask(*ask("w10"))
@@ -167,7 +174,7 @@
 
 def test_connections_beyond_the_limit_are_reset_and_a_bad_form_is_told() -> None:
     async def scenario() -> None:
-        desk = Desk(connections=1)
+        desk = Desk(max_connections=1)
         client = await desk.start()
         assert await client.ask(b"PING") == b"PONG"
         with pytest.raises((EOFError, ConnectionError)):
@@ -181,7 +188,7 @@
 
 def test_idle_connections_are_closed() -> None:
     async def scenario() -> None:
-        desk = Desk(idle_s=0.1)
+        desk = Desk(idle_timeout_s=0.1)
         client = await desk.start()
         assert await client.ask(b"PING") == b"PONG"
         with pytest.raises(EOFError):
@@ -216,7 +223,7 @@
 
 def test_calls_are_served_in_turn_and_a_full_line_turns_away() -> None:
     async def scenario() -> None:
-        counter = Counter(asyncio.get_running_loop(), parts=1, per_s=50.0, line=3)
+        counter = Counter(asyncio.get_running_loop(), shards=1, per_s=50.0, queue_limit=3)
         client = await connect((await counter.start(1))[0])
         before = time.monotonic()
         for _ in range(8):
@@ -233,15 +240,15 @@
 
 def test_a_silent_counter_adds_and_says_nothing_and_a_fresh_one_starts_at_zero() -> None:
     async def scenario() -> None:
-        counter = Counter(asyncio.get_running_loop(), parts=1)
+        counter = Counter(asyncio.get_running_loop(), shards=1)
         port = (await counter.start(1))[0]
         client = await connect(port)
-        await counter.set("silent")
+        await counter.set_mode("silent")
         client.send(b"INCRTTL", b"a", b"5", b"9000")
         await until(lambda: counter.totals[0])
-        await counter.set("ok")
+        await counter.set_mode("ok")
         assert await count(await connect(port), b"a", 1) == b"6"
-        await counter.set("fresh")
+        await counter.set_mode("fresh")
         assert await count(await connect(port), b"a", 1) == b"1"
         counter.close()
 
@@ -254,15 +261,15 @@
         ports = await counter.start(2)
         one, two = await connect(ports[0]), await connect(ports[1])
         assert await count(one, b"a", 1) == b"1"
-        await counter.set("split")
+        await counter.set_mode("split")
         assert await count(one, b"a", 1) == b"2" and await count(two, b"a", 5) == b"6"
-        await counter.set("down")
-        for port in (ports[0], await counter.move(0)):  # down at its new address too
+        await counter.set_mode("down")
+        for port in (ports[0], await counter.change_address(0)):  # down at its new address too
             with pytest.raises(ConnectionRefusedError):
                 await connect(port)
-        kept = len(counter.kept)
-        await counter.set("ok")
-        assert len(counter.kept) > kept  # it keeps copies again
+        kept = len(counter.snapshots)
+        await counter.set_mode("ok")
+        assert len(counter.snapshots) > kept  # it keeps copies again
         assert await count(await connect(ports[1]), b"a", 0) == b"2"
         counter.close()
 
@@ -274,14 +281,14 @@
         counter = Counter(asyncio.get_running_loop())
         ports = await counter.start(4)
         clients = [await connect(port) for port in ports]
-        await counter.set("split", sides=((0, 1), (2, 3)))
+        await counter.set_mode("split", sides=((0, 1), (2, 3)))
         told = [await count(client, b"a", 1) for client in clients]
         assert told == [b"1", b"2", b"1", b"2"]
-        counter.flap(1)
+        counter.switch_side(1)
         with pytest.raises(EOFError):
             await clients[1].answer()
         assert await count(await connect(ports[1]), b"a", 1) == b"3"
-        counter.flap(1)
+        counter.switch_side(1)
         assert await count(await connect(ports[1]), b"a", 0) == b"2"
         assert await count(clients[0], b"a", 0) == b"2"
         counter.close()
@@ -303,8 +310,10 @@
         boxes = [Mailbox() for _ in range(3)]
         sockets = [(await loop.create_datagram_endpoint(lambda b=b: b, (Place.host, 0)))[0] for b in boxes]
         lost = {2}
-        post = Post(loop, 0.5, (0.0, 0.0), lambda what, n: 0.0 if what == "lost" and n in lost else 0.9)
-        doors = await post.start([one.get_extra_info("sockname")[1] for one in sockets])
+        relay = DatagramRelay(
+            loop, 0.5, (0.0, 0.0), lambda what, n: 0.0 if what == "lost" and n in lost else 0.9
+        )
+        doors = await relay.start([one.get_extra_info("sockname")[1] for one in sockets])
 
         def address(sender: int, receiver: int) -> tuple[str, int]:
             host, port = doors[sender][receiver].split(":")
@@ -316,19 +325,19 @@
         sockets[0].sendto(b"one", address(0, 1))
         assert await take(1) == (b"one", address(1, 0))  # it answers to where it came from
         sockets[0].sendto(b"lost", address(0, 1))
-        await until(lambda: post.sent[0] == 2)
+        await until(lambda: relay.sent[0] == 2)
         sockets[0].sendto(bytes(257), address(0, 1))
         sockets[2].sendto(b"as 0", address(0, 1))  # from no limiter of that door
-        await until(lambda: post.sent[0] == 3)
-        post.sides = (frozenset({0, 2}), frozenset({1}))
+        await until(lambda: relay.sent[0] == 3)
+        relay.partitions = (frozenset({0, 2}), frozenset({1}))
         sockets[0].sendto(b"cut", address(0, 1))
         sockets[0].sendto(b"near", address(0, 2))
         assert await take(2) == (b"near", address(2, 0))
-        post.sides = ()
+        relay.partitions = ()
         sockets[0].sendto(b"again", address(0, 1))
         assert await take(1) == (b"again", address(1, 0))
-        assert post.sent == [6, 0, 0] and post.largest[0] == 257 and max(post.busiest) <= 2
-        post.close()
+        assert relay.sent == [6, 0, 0] and relay.largest_bytes[0] == 257 and max(relay.busiest_second) <= 2
+        relay.close()
         for one in sockets:
             one.close()
 
@@ -337,18 +346,18 @@
 
 def test_a_snapshot_takes_the_place_of_what_was_added_since_and_one_part_may_die() -> None:
     async def scenario() -> None:
-        counter = Counter(asyncio.get_running_loop(), parts=2)
+        counter = Counter(asyncio.get_running_loop(), shards=2)
         port = (await counter.start(1))[0]
         client = await connect(port)
         assert await count(client, b"a", 1) == b"1"
-        counter.keep()
+        counter.take_snapshots()
         assert await count(client, b"a", 5) == b"6"
-        await counter.set("snapshot", age_s=0.01)
+        await counter.set_mode("snapshot", age_s=0.01)
         with pytest.raises(EOFError):  # its connections went with it
             await client.answer()
         client = await connect(port)
         assert await count(client, b"a", 1) == b"2"
-        await counter.set("part")
+        await counter.set_mode("part")
         names = [b"n%d" % n for n in range(20)]
         dead = next(name for name in names if zlib.crc32(name) % 2 == 0)
         living = next(name for name in names if zlib.crc32(name) % 2 == 1)
@@ -369,14 +378,14 @@
         counter = Counter(asyncio.get_running_loop())
         ports = await counter.start(1)
         client = await connect(ports[0])
-        await counter.set("late", 0.05)
+        await counter.set_mode("late", 0.05)
         before = time.monotonic()
         assert await count(client, b"a", 1) == b"1"
         assert time.monotonic() - before >= 0.045
-        await counter.set("busy")
+        await counter.set_mode("busy")
         assert str(await count(client, b"a", 1)) == "BUSY"
-        await counter.set("ok")
-        new = await counter.move(0)
+        await counter.set_mode("ok")
+        new = await counter.change_address(0)
         assert new != ports[0]
         with pytest.raises(ConnectionRefusedError):
             await connect(ports[0])
@@ -407,13 +416,13 @@
     async def open(cls, port: int, index: int = 0) -> "Watching":
         reader, writer = await asyncio.open_connection(Place.host, port)
         writer.write(b"GET /v1/endpoints?stream=1&index=%d HTTP/1.1\r\nHost: x\r\n\r\n" % index)
-        assert b"200 OK" in await soon(reader.readuntil(b"\r\n\r\n"))
+        assert b"200 OK" in await within_timeout(reader.readuntil(b"\r\n\r\n"))
         return cls(reader, writer)
 
     async def line(self) -> Any:
         while True:
-            size = int(await soon(self.reader.readline()), 16)
-            text = (await soon(self.reader.readexactly(size + 2))).strip()
+            size = int(await within_timeout(self.reader.readline()), 16)
+            text = (await within_timeout(self.reader.readexactly(size + 2))).strip()
             if text:
                 return json.loads(text)
 
@@ -455,7 +464,7 @@
         await watch.line()
         agent.set_silent(True)
         fleet.change("s-1", **entry("DRAINING"))
-        await until(lambda: agent.waiting)
+        await until(lambda: agent.pending)
         assert len(rows) == 1
         agent.set_silent(False)
         assert (await watch.line())["instances"][0]["lifecycle"] == "DRAINING"
@@ -469,12 +478,12 @@
         agent = agent_of(Fleet(), [])
         await agent.start()
         agent.close()
-        port = await agent.move()
+        port = await agent.change_address()
         with pytest.raises(ConnectionRefusedError):
             await Watching.open(port)
         assert await agent.start(agent.port) == port
         await (await Watching.open(port)).line()
-        assert await agent.move() != port
+        assert await agent.change_address() != port
         await (await Watching.open(agent.port)).line()
         agent.close()
 
@@ -484,7 +493,7 @@
 def test_who_does_not_listen_counts_as_told_after_a_while() -> None:
     async def scenario() -> None:
         fleet, rows = Fleet(), []
-        agent_of(fleet, rows, told_within_s=0.02)
+        agent_of(fleet, rows, assume_notified_after_s=0.02)
         fleet.add({"instanceId": "s-1", **entry()})
         fleet.change("s-1", **entry("DRAINING"))
         await until(lambda: rows)
@@ -498,7 +507,7 @@
         agent = agent_of(Fleet(), [])
         reader, writer = await asyncio.open_connection(Place.host, await agent.start())
         writer.write(b"POST /v1/endpoints HTTP/1.1\r\n\r\n")
-        assert b"404" in await soon(reader.readline())
+        assert b"404" in await within_timeout(reader.readline())
         agent.close()
 
     run(scenario)
@@ -520,7 +529,7 @@
         proxy = Proxy(asyncio.get_running_loop(), lambda: port)
         reader, writer = await asyncio.open_connection(Place.host, await proxy.start())
         writer.write(b"first\n")
-        assert await soon(reader.readline()) == b"first\n"
+        assert await within_timeout(reader.readline()) == b"first\n"
         return proxy, reader, writer
 
 
@@ -529,7 +538,7 @@
     async def scenario() -> None:
         echo = Echo()
         proxy, reader, writer = await echo.start()
-        proxy.set(mode, **more)
+        proxy.set_mode(mode, **more)
         writer.write(b"0123456789\n")
         await check(proxy, reader, writer)
         proxy.close()
@@ -541,18 +550,18 @@
 def test_proxy_delay_trickle_and_garbage() -> None:
     async def late(proxy: Proxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         before = time.monotonic()
-        assert await soon(reader.readline()) == b"0123456789\n"
+        assert await within_timeout(reader.readline()) == b"0123456789\n"
         assert time.monotonic() - before >= 0.08  # both ways
 
     async def slow(proxy: Proxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         parts = []
         while sum(map(len, parts)) < 11:
-            parts.append(await soon(reader.read(100)))
+            parts.append(await within_timeout(reader.read(100)))
         assert b"".join(parts) == b"0123456789\n" and len(parts) >= 5
 
     async def noisy(proxy: Proxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        assert await soon(reader.readline()) == b"0123456789\n"
-        assert b"noise" in await soon(reader.readuntil(b"noise"))
+        assert await within_timeout(reader.readline()) == b"0123456789\n"
+        assert b"noise" in await within_timeout(reader.readuntil(b"noise"))
 
     through("delay", late, delay_s=0.05)
     through("trickle", slow)
@@ -562,14 +571,14 @@
 def test_proxy_cuts_at_a_byte_by_a_reset_or_an_end() -> None:
     async def reset(proxy: Proxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with pytest.raises(ConnectionResetError):
-            while await soon(reader.read(100)):
+            while await within_timeout(reader.read(100)):
                 pass
 
     async def ended(proxy: Proxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        assert await soon(reader.read()) == b"0123"
+        assert await within_timeout(reader.read()) == b"0123"
 
-    through("reset", reset, byte=4)
-    through("truncate", ended, byte=4)
+    through("reset", reset, cut_after_bytes=4)
+    through("truncate", ended, cut_after_bytes=4)
 
 
 def test_proxy_silence_says_nothing_and_resets_when_it_is_over() -> None:
@@ -580,20 +589,20 @@
         second.write(b"x\n")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(other.read(1), 0.1)
-        proxy.set("pass")
+        proxy.set_mode("pass")
         with pytest.raises(ConnectionResetError):
-            await soon(reader.read(1))
+            await within_timeout(reader.read(1))
 
     through("silence", silent)
 
 
 def test_proxy_refuses_new_connections_only() -> None:
     async def refuses(proxy: Proxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        assert await soon(reader.readline()) == b"0123456789\n"
+        assert await within_timeout(reader.readline()) == b"0123456789\n"
         other, second = await asyncio.open_connection(Place.host, proxy.port)
         with pytest.raises(ConnectionResetError):
             second.write(b"x\n")
-            await soon(other.read(1))
+            await within_timeout(other.read(1))
 
     through("refuse", refuses)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -18,18 +18,19 @@
     Discovery,
     Handler,
     Stub,
-    hold,
-    never,
+    never_reply,
+    reply_when_released,
+    reply_with,
     reset,
-    saying,
     serve,
-    soon,
     until,
+    within_timeout,
 )
 
 __all__ = [
-    "VALUE", "Client", "Discovery", "Handler", "Stub", "World", "list_update", "hold", "never", "query",
-    "reset", "instance", "saying", "serve", "settings", "soon", "submit", "until",
+    "VALUE", "Client", "Discovery", "Handler", "Stub", "World", "list_update", "reply_when_released",
+    "never_reply", "query", "reset", "instance", "reply_with", "serve", "settings", "submit", "until",
+    "within_timeout",
 ]  # fmt: skip
 
 MS = 1_000_000
@@ -85,7 +86,7 @@
 
     def __init__(self, *handlers: Handler, count: Handler | None = None, **plan: float) -> None:
         self.stubs = [Stub(handler) for handler in handlers]
-        self.counter, self.plan = Stub(count or saying(b"$1\r\n1\r\n")), plan
+        self.counter, self.plan = Stub(count or reply_with(b"$1\r\n1\r\n")), plan
         self.discovery = Discovery()
         self.options: Options | None = None
         self.known = True  # whether the configuration lists the servers
@@ -130,7 +131,7 @@
             stderr=asyncio.subprocess.PIPE,
         )  # fmt: skip
         assert self.process.stderr
-        while b" serves on " not in (line := await soon(self.process.stderr.readline())):
+        while b" serves on " not in (line := await within_timeout(self.process.stderr.readline())):
             assert line, "the limiter ended before it served"
         self.port = int(line.rsplit(b":", 1)[1])
         return self
