--- a/hookport/rehearsal/desks.py
+++ b/hookport/rehearsal/desks.py
@@ -1,7 +1,7 @@
-"""The partner desks' process: clients with deadlines and retries, behind a front that deals them out.
+"""Worker process with the clients of the partner desks: deadlines, retries, and a load balancer in front.
 
-Arrivals are drawn ahead and do not wait for answers.  Each connection carries one request at a time, so
-whatever comes without one is told as ``extra``.
+The load is open: arrival times are drawn in advance and don't depend on replies. Each connection carries one
+request at a time, so a reply that arrives when none is in flight is recorded as ``extra``.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from hookport.rehearsal.history import Recorder
 from hookport.rehearsal.loops import Lag, Orders, Place, work
 
-CLOSE_RACE_S = 0.1  # a close sooner than this after the request may have crossed it, unread
-MALFORMED_REPLY_TIMEOUT_S = 3.0
-IDLE_TIMEOUT_S = 8.0  # for which a client keeps a connection
+CLOSE_RACE_S = 0.1  # if a connection closes this soon after a request, the request may not have been read
+MALFORMED_REPLY_TIMEOUT_S = 3.0  # a malformed request must get an error or a close within this time
+IDLE_TIMEOUT_S = 8.0  # clients close connections that were unused for longer
 BODY = b"x" * 64
 MALFORMED_REQUESTS = (
     b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
@@ -39,7 +39,7 @@
 
 
 class Attempt:
-    """One try of a request, on its way."""
+    """One attempt at a request; ``number`` is 0 for the first and counts the retries."""
 
     __slots__ = (
         "resent", "arrival", "id", "limiter", "number", "finished", "payload", "sent_s", "timer", "wait_ms",
@@ -49,13 +49,13 @@
         self.arrival, self.number, self.id, self.limiter, self.wait_ms = arrival, number, id, limiter, wait_ms
         self.payload = b""
         self.sent_s = 0.0
-        self.resent = False  # sent once more after a close that crossed it
+        self.resent = False  # sent again because the connection closed before it was read
         self.finished = False
         self.timer: asyncio.TimerHandle | None = None
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection to a limiter."""
+    """A connection from a client to a limiter, with at most one attempt in flight."""
 
     def __init__(self, desks: Desks, limiter: int) -> None:
         self.desks, self.limiter, self.incarnation = desks, limiter, desks.incarnations[limiter]
@@ -85,7 +85,7 @@
 
 
 class Desks:
-    """All clients of one evening."""
+    """All clients of one run and the load balancer in front of the limiters."""
 
     def __init__(self, plan: plans.Plan, seed: int, recorder: Recorder, ports: list[int]) -> None:
         self.plan, self.seed, self.ports = plan, seed, ports
@@ -93,11 +93,11 @@
         self.loop = asyncio.get_running_loop()
         self.arrivals = draw.arrivals(plan, seed)
         self.next_arrival = 0
-        self.incarnations = [1] * plan.limiters.count  # which life of each limiter the clients reach
-        self.believed_up = [True] * plan.limiters.count  # what the front believes
+        self.incarnations = [1] * plan.limiters.count  # of each limiter: how often it was started
+        self.believed_up = [True] * plan.limiters.count  # the load balancer's view of each limiter
         self.idle_connections: list[list[ClientConnection]] = [[] for _ in ports]
-        self.connections: dict[ClientConnection, None] = {}  # in the order of their coming
-        self.open_due_ns: dict[int, int] = {}  # of open requests: when they were due
+        self.connections: dict[ClientConnection, None] = {}  # in order of arrival
+        self.open_due_ns: dict[int, int] = {}  # due time of each unfinished request, by arrival number
         self.class_names = [traffic_class.name.encode() for traffic_class in plan.classes]
         self.quota_names = [quota.name.encode() for quota in plan.plans]
         self.asked, self.served, self.refused = 0, 0, 0
@@ -108,7 +108,7 @@
 
     def start(self, start_ns: int) -> None:
         self.start_ns = start_ns
-        # The loop's clock at the start.
+        # The start time on the loop's clock.
         self.start_s = (start_ns - Place.clock_ns()) / 1e9 + self.loop.time()
         self.start_due_requests()
         for fault in self.plan.fault:
@@ -118,7 +118,7 @@
                     self.loop.call_at(at_s + n / fault.each_s, self.start_malformed_request, n)
 
     def start_due_requests(self) -> None:
-        """Start all requests that are due, then wait for the next."""
+        """Start all requests that are due and set a timer for the next one."""
         now_ns = Place.clock_ns() - self.start_ns
         while self.next_arrival < len(self.arrivals) and not self.stopped:
             arrival = self.arrivals[self.next_arrival]
@@ -133,10 +133,10 @@
                        "late": round((now_ns - arrival.at_ns) / 1e6, 2)})  # fmt: skip
             self.start_attempt(arrival, 0)
 
-    # Tries
+    # Attempts
 
     def pick_limiter(self, arrival: draw.Arrival, number: int) -> int:
-        """The front: one of the customer's set that it believes to live, or any of the set."""
+        """Choose one of the customer's limiters that is believed to be up, or any of them if none is."""
         limiters = self.plan.limiters.count
         members = [(arrival.first + n) % limiters for n in range(arrival.spread)]
         candidates = [n for n in members if self.believed_up[n]] or members
@@ -195,7 +195,7 @@
             async with asyncio.timeout(attempt.wait_ms / 1000):
                 await self.loop.create_connection(lambda: connection, Place.host, self.ports[attempt.limiter])
         except (OSError, TimeoutError):
-            if attempt.resent:  # what it was sent on first has closed unread, and nobody is there now
+            if attempt.resent:  # the first connection closed unread and a new one cannot be opened
                 return self.finish_attempt(attempt, "closed")
             return self.finish_attempt(attempt, "unsent")
         self.connections[connection] = None
@@ -267,14 +267,13 @@
             and not attempt.resent
             and not connection.parser.has_data()
         ):
-            attempt.resent = (
-                True  # the limiter may close between requests; if that crosses one, it goes once more
-            )
+            # The limiter may close an idle connection while a request is on its way: send it once more.
+            attempt.resent = True
             return self.dispatch(attempt)
         self.finish_attempt(attempt, "closed" if attempt.sent_s else "unsent")
 
     def on_unexpected_reply(self, connection: ClientConnection) -> None:
-        """A message that answers nothing; an error line ahead of a close, between requests, is none."""
+        """Record a reply without a request, unless it is an error line and the limiter closes right after."""
         self.loop.call_later(0.05, self.record_unexpected_reply, connection)
 
     def record_unexpected_reply(self, connection: ClientConnection) -> None:
@@ -285,7 +284,7 @@
     def finish_attempt(
         self, attempt: Attempt, outcome: str, value: str = "", retry_after_ms: int = 0
     ) -> None:
-        """The end of a try; what comes then depends on what is known of it."""
+        """Record the outcome; retry if the request cannot have run or is safe to repeat."""
         if attempt.finished:
             return
         attempt.finished = True
@@ -315,7 +314,7 @@
             wait_s = max(wait_s, retry_after_ms / 1000)
         self.loop.call_later(wait_s, self.start_attempt, arrival, attempt.number + 1)
 
-    # What the front learns
+    # Limiter states
 
     def set_limiter_state(self, number: int, up: bool, incarnation: int, planned: bool) -> None:
         if up:
@@ -331,7 +330,7 @@
 
         self.loop.call_later(notice_s, notice)
 
-    # Bad clients
+    # Malformed requests
 
     def start_malformed_request(self, number: int) -> None:
         task = self.loop.create_task(self.send_malformed_request(number))
@@ -339,13 +338,13 @@
         task.add_done_callback(self.tasks.discard)
 
     async def send_malformed_request(self, number: int) -> None:
-        """Send what cannot be read; an error line or a close is owed within 3 s."""
+        """Send a malformed request and record whether an error line or a close follows in time."""
         limiter = number % len(self.ports)
         text = MALFORMED_REQUESTS[number % len(MALFORMED_REQUESTS)]
         try:
             reader, writer = await asyncio.open_connection(Place.host, self.ports[limiter])
         except OSError:
-            return  # a limiter that is down owes nothing
+            return  # the limiter is down, so no reply is due
         served, ok = False, False
         try:
             writer.write(text)
@@ -354,9 +353,9 @@
             ok = not data or data.startswith(b"-")
             served = data.startswith((b"$", b"*"))
         except TimeoutError:
-            pass  # told below as not ok
+            pass  # recorded below as not ok
         except OSError:
-            ok = True  # a reset is a close
+            ok = True  # a reset counts as a close
         finally:
             writer.transport.abort()
         self.note({"e": "rude", "t": Place.clock_ns(), "l": limiter, "ok": ok, "served": served})
@@ -368,7 +367,7 @@
 
 
 class DesksWorker:
-    """The orders of the orchestrator to this process."""
+    """Executes the commands that the orchestrator sends to this process."""
 
     desks: Desks
     recorder: Recorder
@@ -403,7 +402,7 @@
 
 
 async def report_progress(desks: Desks, send_event: Callable[..., None]) -> None:
-    """How far it is, twice a second, and when nothing is open any more."""
+    """Report progress twice a second, including the number of unfinished requests."""
     while True:
         await asyncio.sleep(0.5)
         send_event(ev="beat", asked=desks.asked, served=desks.served, refused=desks.refused,
--- a/hookport/rehearsal/plain.py
+++ b/hookport/rehearsal/plain.py
@@ -1,7 +1,8 @@
-"""A plain limiter, to set every score beside: lets all in, to a server chosen at random, and keeps the rules.
+"""A minimal limiter as the baseline for scores: admits every request and picks a server at random.
 
-It speaks the same protocol and takes the same configuration as the daemon, so it is started in its place:
-``python -m hookport.rehearsal.plain``.  With ``--stub`` it answers by itself, to measure the kit alone.
+It follows the protocol rules and takes the daemon's configuration, so it can be started in the daemon's place
+as ``python -m hookport.rehearsal.plain``. With ``--stub`` it replies without any server, to measure the
+overhead of the test tools alone.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 import hiredis
 import uvloop
 
-REPLY_MARGIN_S = 0.025  # before a client's time is up
-DRAIN_DELAY_S = 1.0  # after SIGTERM, until what is idle is closed
+REPLY_MARGIN_S = 0.025  # a timeout is reported this long before the client's deadline
+DRAIN_DELAY_S = 1.0  # from SIGTERM until idle connections are closed
 
 
 class Upstream(asyncio.Protocol):
-    """One request at a server, on a connection of its own."""
+    """One request to a server, on its own connection."""
 
     def __init__(self, client: ClientConnection, slot: list[bytes | None], payload: bytes) -> None:
         self.client, self.slot, self.payload = client, slot, payload
@@ -54,7 +55,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a client."""
+    """A connection from a client; replies are written in the order of the commands."""
 
     def __init__(self, limiter: PlainLimiter) -> None:
         self.limiter = limiter
@@ -69,7 +70,7 @@
         self.limiter.connections.discard(self)
 
     def reply(self, slot: list[bytes | None], reply: bytes) -> None:
-        """Answer a command, once, in its turn."""
+        """Set the reply of a command unless it has one, and write all replies that are next in order."""
         if slot[0] is not None:
             return
         slot[0] = reply
@@ -102,7 +103,7 @@
 
 
 class ForwardedRequest(NamedTuple):
-    """One request: whom it is to be answered, what goes to a server, and for how long its client waits."""
+    """A request to forward: where its reply goes, the bytes for the server, and the client's timeout."""
 
     connection: ClientConnection
     slot: list[bytes | None]
@@ -113,7 +114,7 @@
 
 
 class PlainLimiter:
-    """The whole limiter."""
+    """The limiter process: client connections, the server list, and forwarding."""
 
     def __init__(self, config: dict[str, Any], stub: bool) -> None:
         self.config, self.stub = config, stub
@@ -136,7 +137,7 @@
                 self.addresses[row["instanceId"]] = (host, int(port))
 
     async def watch(self) -> None:
-        """Follow discovery; whatever ends the watch, another begins."""
+        """Follow discovery's changes; reconnect whenever a watch ends."""
         while True:
             try:
                 host, _, port = self.config["discovery"].rpartition(":")
@@ -148,7 +149,7 @@
                     if text:
                         self.apply_list(json.loads(text))
             except (OSError, ValueError, EOFError) as error:
-                print(f"plain: the watch ended: {error}", file=sys.stderr)
+                print(f"plain: the discovery watch ended: {error}", file=sys.stderr)
             await asyncio.sleep(0.1)
 
     def handle_request(
@@ -169,7 +170,7 @@
         self.start(ForwardedRequest(connection, slot, payload, arguments, fields, wait_s))
 
     def start(self, request: ForwardedRequest) -> None:
-        """Send a request on, or answer it."""
+        """Forward a request to a random server."""
         address = self.addresses[self.random.choice(sorted(self.addresses))]
         self.spawn(self.forward(Upstream(request.connection, request.slot, request.payload), address))
 
@@ -223,7 +224,7 @@
 
 
 async def run(make: Callable[[dict[str, Any]], PlainLimiter]) -> None:
-    """Serve as the limiter that is made of the configuration."""
+    """Read the configuration, build the limiter with ``make`` and serve until it has shut down."""
     with open(os.environ["PROXY_CONFIG"], "rb") as file:
         config = json.load(file)
     await make(config).serve()
--- a/hookport/rehearsal/rival.py
+++ b/hookport/rehearsal/rival.py
@@ -1,10 +1,11 @@
-"""A stronger rival to set scores beside: fixed slices, least-loaded choice, bounded retries.
+"""A stronger reference limiter to compare scores with: fixed quota slices, least-loaded choice, one retry.
 
-What a good engineer would write in a day: each limiter keeps its part of a customer's quota in a token
-bucket, a request goes to the server with the least of this limiter's own work, one that failed stays out for
-a while, and what may be repeated is tried once more elsewhere, as long as retries are few. It shares nothing
-with the other limiters and asks no counter. It is started in the daemon's place as
-``python -m hookport.rehearsal.rival``.
+It stands for what a good engineer would write in a day. Each limiter holds its share of a customer's quota in
+a token bucket. A request goes to the server with the fewest requests in flight from this limiter; a server
+that failed is ejected for a while. A request that is safe to repeat is retried once on another server, within
+a retry budget. It shares no state with other limiters and uses no counter.
+
+It is started in the daemon's place as ``python -m hookport.rehearsal.rival``.
 """
 
 from __future__ import annotations
@@ -20,16 +21,16 @@
 from hookport.rehearsal.plain import ClientConnection, ForwardedRequest, PlainLimiter, Upstream, run
 from hookport.rehearsal.referee import Bucket
 
-RETRY_TOKENS_PER_REQUEST = 0.1  # retries for each first try
-MAX_RETRY_TOKENS = 5.0  # retries that may be saved up
-EJECTION_S = 1.0  # for which a server that failed is passed over
-MAX_IN_FLIGHT_PER_SERVER = 24  # requests of this limiter at one server
+RETRY_TOKENS_PER_REQUEST = 0.1  # retries earned by each request
+MAX_RETRY_TOKENS = 5.0  # upper bound of the saved retries
+EJECTION_S = 1.0  # how long a failed server is avoided
+MAX_IN_FLIGHT_PER_SERVER = 24  # from this limiter
 CONNECT_TIMEOUT_S = 0.25
 SAFE_COMMAND = b"SVC.QUERY"
 
 
 class RetryableUpstream(Upstream):
-    """One attempt at a server. A client hears of a failure only from the rival, which may try again."""
+    """One attempt at a server; passes values on to the client and leaves failures to the limiter."""
 
     def __init__(self, client: ClientConnection, slot: list[bytes | None], payload: bytes) -> None:
         super().__init__(client, slot, payload)
@@ -48,12 +49,12 @@
 
 
 def existing_protocol(attempt: RetryableUpstream) -> RetryableUpstream:
-    """As a factory of protocols: the attempt that stands ready."""
+    """Protocol factory that returns an existing attempt."""
     return attempt
 
 
 class RivalLimiter(PlainLimiter):
-    """The whole limiter."""
+    """The limiter process: quota slices, server choice, ejection and retries."""
 
     def __init__(self, config: dict[str, Any], stub: bool = False) -> None:
         super().__init__(config, stub)
@@ -64,7 +65,7 @@
         self.plans = {plan["name"]: plan for plan in config["settings"]["tiersOfService"]}
 
     def take_quota(self, customer: bytes, fields: dict[str, str]) -> bool:
-        """Whether this limiter's slice of the quota holds the request; it is charged then."""
+        """Charge the request to this limiter's slice of the quota; return whether it fits."""
         plan = self.plans.get(fields.get("t", ""))
         if plan is None:
             return True
@@ -77,7 +78,7 @@
         return bucket.take(round(self.loop.time() * 1e9), float(fields.get("units", "1")))
 
     def pick_server(self, tried: set[str]) -> str | None:
-        """The server with the least of this limiter's work, of those that did not fail lately."""
+        """Return the server with the fewest requests in flight, preferring those not ejected."""
         now_s = self.loop.time()
         servers = [
             server
@@ -93,7 +94,7 @@
         self.spawn(self.forward_with_retry(request, self.loop.time() + request.wait_s))
 
     async def forward_with_retry(self, request: ForwardedRequest, deadline_s: float) -> None:
-        """Try, and once more where that is safe and retries are few; a last word in any case."""
+        """Forward the request, retry once if that is safe and within the budget, and always reply."""
         connection, slot = request.connection, request.slot
         tried: set[str] = set()
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
@@ -115,7 +116,7 @@
                         if await attempt.has_value:
                             return
                 except TimeoutError:
-                    attempt.transport.close()  # the client's time is up, and it has been told
+                    attempt.transport.close()  # the deadline has passed and the client has its reply
                     return
                 may_have_run = may_have_run or not attempt.busy
                 if not attempt.busy:
--- a/hookport/rehearsal/scripted.py
+++ b/hookport/rehearsal/scripted.py
@@ -1,7 +1,8 @@
-"""Scripted peers for tests in the limiter's own loop: each does what a test tells it, byte by byte.
+"""Scripted servers and clients for tests that run in the limiter's event loop.
 
-The stand-ins model a world; these have no model at all.  A handler is called for each command and writes
-what the test wants seen: ``serve``, ``hold``, ``never``, ``reset`` and ``saying(...)`` are the usual ones.
+Unlike the simulated systems in ``standins``, they have no behaviour of their own. A test passes a handler
+that is called for each command and writes the exact bytes of the reply: ``serve``, ``reply_when_released``,
+``never_reply``, ``reset`` and ``reply_with(...)`` are the common ones.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 import hiredis
 
 VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
-TIMEOUT_S = 20.0  # for what is sure to come: only a failed test waits as long
+TIMEOUT_S = 20.0  # for events that must happen: only a failing test waits this long
 
 Handler = Callable[["Stub", list[bytes], asyncio.StreamWriter], Awaitable[None]]
 
@@ -31,7 +32,7 @@
 
 
 class Stub:
-    """A RESP listener whose answers a test decides; it remembers what it was told."""
+    """A RESP server that records commands and passes each to the handler, which writes the reply."""
 
     def __init__(self, handler: Handler) -> None:
         self.handler = handler
@@ -91,7 +92,7 @@
 
 
 class Discovery:
-    """Answers each watch with what ``lines`` holds and then with what is pushed."""
+    """A discovery server: accepts watches and sends the lines that a test pushes to the newest one."""
 
     def __init__(self) -> None:
         self.requests: list[bytes] = []
@@ -112,6 +113,8 @@
 
 
 class Client:
+    """A RESP client on an open connection."""
+
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self.parser = reader, writer, hiredis.Reader()
 
@@ -119,7 +122,7 @@
         self.writer.write(hiredis.pack_command(arguments))  # type: ignore[arg-type,no-untyped-call,unused-ignore]
 
     async def answer(self) -> Any:
-        """The next answer, or EOFError when the connection ends."""
+        """Return the next reply; raise EOFError if the connection ends first."""
         while (reply := self.parser.gets()) is False:
             try:
                 data = await within_timeout(self.reader.read(1 << 16))
--- a/hookport/rehearsal/standins/__init__.py
+++ b/hookport/rehearsal/standins/__init__.py
@@ -1,4 +1,7 @@
-"""Stand-ins for what a limiter talks to, each by its published protocol, all on loopback addresses."""
+"""Simulated servers, counter, discovery and network for limiters under test, on loopback addresses.
+
+Each speaks the published protocol of the system that it replaces.
+"""
 
 from hookport.rehearsal.standins.counter import Counter
 from hookport.rehearsal.standins.datagrams import DatagramRelay
--- a/hookport/rehearsal/standins/counter.py
+++ b/hookport/rehearsal/standins/counter.py
@@ -1,4 +1,7 @@
-"""The shared counter: parts served in turn, a full line, expiry, late and lost answers, a split."""
+"""A simulated shared counter: sharded, with a bounded queue, expiring keys and injected faults.
+
+Faults are late, lost or corrupt answers, a split into two copies, and the loss of one shard or of all totals.
+"""
 
 from __future__ import annotations
 
@@ -13,20 +16,20 @@
 from hookport.rehearsal.loops import Place, Slots, listen
 
 MAX_TTL_MS = 60_000
-MAX_CONNECTIONS = 32  # of one limiter
-SWEEP_THRESHOLD_KEYS = 1 << 20
-SNAPSHOT_INTERVAL_S, MAX_SNAPSHOTS = 0.5, 20  # copies of all totals, for a snapshot to come back to
+MAX_CONNECTIONS = 32  # per limiter
+SWEEP_THRESHOLD_KEYS = 1 << 20  # expired keys are deleted when a side holds more keys than this
+SNAPSHOT_INTERVAL_S, MAX_SNAPSHOTS = 0.5, 20  # copies of all totals that the ``snapshot`` mode can restore
 Mode = Literal["ok", "silent", "late", "noise", "busy", "down", "part"]
 NOISE = (b"$5\r\nhello\r\n", b"*1000\r\n", b":12\r\n", b"\x00\xffgarbage\r\n", b"$-1\r\n")
 
 
 class Connection(asyncio.Protocol):
-    """One connection of a limiter."""
+    """A connection from a limiter."""
 
     def __init__(self, counter: Counter, limiter: int) -> None:
         self.counter, self.limiter = counter, limiter
         self.parser = hiredis.Reader()
-        self.muted = False  # an answer was lost: answers come in order, so none comes any more
+        self.muted = False  # an answer was lost; replies are ordered, so none can follow it
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -53,7 +56,10 @@
 
 
 class Counter:
-    """Numbers by name; ``now_s`` is the loop's clock unless a test hands in its own."""
+    """A map of keys to expiring totals, served over RESP.
+
+    Each key belongs to one of ``shards``; a shard serves ``per_s`` calls per second in order and answers BUSY
+    once ``queue_limit`` calls wait. ``answer_lost`` decides for each call whether its answer is lost."""
 
     def __init__(
         self,
@@ -65,39 +71,39 @@
     ) -> None:
         self.loop, self.per_s, self.queue_limit = loop, per_s, queue_limit
         self.answer_lost = answer_lost or (lambda: False)
-        self.shard_free_s = [0.0] * shards  # when each part has served what waits for it
-        self.totals: list[dict[bytes, tuple[float, float]]] = [{}, {}]  # of each side of a split
+        self.shard_free_s = [0.0] * shards  # when each shard will have served its queue
+        self.totals: list[dict[bytes, tuple[float, float]]] = [{}, {}]  # per side: total and expiry by key
         self.split = False
-        self.limiter_sides: dict[int, int] = {}  # of limiters, while it is split; others are on the first
+        self.limiter_sides: dict[int, int] = {}  # during a split; a limiter not listed is on side 0
         self.snapshots: deque[tuple[float, dict[bytes, tuple[float, float]]]] = deque(maxlen=MAX_SNAPSHOTS)
         self.snapshot_timer: asyncio.TimerHandle | None = None
         self.mode: Mode = "ok"
         self.answer_delay_s = 0.2
         self.calls: list[int] = []
-        self.connections: dict[Connection, None] = {}  # in the order of their opening
+        self.connections: dict[Connection, None] = {}  # in order of opening
         self.ports: list[int] = []
         self.listeners: dict[int, asyncio.Server] = {}
 
     async def start(self, limiters: int) -> list[int]:
-        """Listen once for each limiter; returns the ports."""
+        """Open one listener per limiter; return the ports."""
         self.calls, self.ports = [0] * limiters, [0] * limiters
         for limiter in range(limiters):
             await self.open_listener(limiter)
         return list(self.ports)
 
     async def open_listener(self, limiter: int) -> int:
-        """Listen for one limiter, at its old address if there is one."""
+        """Listen for one limiter, on its previous port if it has one; return the port."""
         listener, port = await listen(self.loop, lambda: Connection(self, limiter), self.ports[limiter])
         self.listeners[limiter], self.ports[limiter] = listener, port
         return port
 
     def take_snapshots(self) -> None:
-        """Keep copies of the totals, the oldest some 10 s old."""
+        """Copy the totals every SNAPSHOT_INTERVAL_S; the oldest copy kept is about 10 s old."""
         self.snapshots.append((self.loop.time(), dict(self.totals[0])))
         self.snapshot_timer = self.loop.call_later(SNAPSHOT_INTERVAL_S, self.take_snapshots)
 
     def find_snapshot(self, age_s: float) -> dict[bytes, tuple[float, float]]:
-        """The totals of that long ago, or the oldest that were kept."""
+        """Return the newest copy that is at least ``age_s`` old, else the oldest one."""
         before_s = self.loop.time() - age_s
         old = [totals for at_s, totals in self.snapshots if at_s <= before_s] or [
             t for _, t in self.snapshots
@@ -107,11 +113,12 @@
     async def set_mode(
         self, mode: str, answer_delay_s: float = 0.2, age_s: float = 2.0, sides: Sequence[Sequence[int]] = ()
     ) -> None:
-        """Go over to a mode.
+        """Change the behaviour.
 
-        ``fresh`` forgets all totals and ``snapshot`` goes back to older ones, both on new connections;
-        ``split`` gives the second of the ``sides``, or odd limiters, a copy of their own; ``part`` lets one
-        part die and the others live."""
+        ``fresh`` drops all totals and ``snapshot`` restores those of ``age_s`` ago; both abort all
+        connections. ``split`` gives the limiters in ``sides[1]`` (by default the odd ones) a separate copy of
+        the totals. ``part`` stops one shard while the others continue. Leaving ``down`` reopens the previous
+        ports."""
         if mode in ("fresh", "snapshot"):
             self.totals = [{} if mode == "fresh" else self.find_snapshot(age_s), {}]
             for connection in list(self.connections):
@@ -132,13 +139,13 @@
                 await self.open_listener(limiter)
 
     def switch_side(self, limiter: int) -> None:
-        """While it is split: a limiter's way leads to the other side from now on, by new connections."""
+        """Route a limiter to the other side of a split and abort its connections."""
         self.limiter_sides[limiter] = 1 - self.limiter_sides.get(limiter, 0)
         for connection in [connection for connection in self.connections if connection.limiter == limiter]:
             connection.transport.abort()
 
     async def change_address(self, limiter: int) -> int:
-        """Go to a new address: the old one takes no new connection and closes the open ones after 1.5 s."""
+        """Move a limiter's listener to a new port; connections to the old port close after 1.5 s."""
         old = [connection for connection in self.connections if connection.limiter == limiter]
         if listener := self.listeners.pop(limiter, None):
             listener.close()
@@ -150,7 +157,7 @@
         self.loop.call_later(1.5, close_old_connections)
         self.ports[limiter] = 0
         port = await self.open_listener(limiter)
-        if self.mode == "down":  # at its new address too
+        if self.mode == "down":  # the new port refuses connections too
             self.listeners.pop(limiter).close()
         return port
 
@@ -186,7 +193,7 @@
         now_s = self.loop.time()
         shard = zlib.crc32(arguments[1]) % len(self.shard_free_s)
         if self.mode == "part" and shard == 0:
-            connection.muted = True  # it adds nothing and never answers; answers come in order
+            connection.muted = True  # the call is dropped, and ordered replies cannot pass it
             return
         if (self.shard_free_s[shard] - now_s) * self.per_s > self.queue_limit or self.mode == "busy":
             return connection.slots.give(slot, b"-BUSY\r\n")
@@ -196,7 +203,7 @@
         )
 
     def add(self, side: int, key: bytes, amount: float, ttl_ms: int, now_s: float) -> float:
-        """Add to a name that lives ``life_ms`` from its first call; returns the total."""
+        """Add to a key, which expires ``ttl_ms`` after its first call, and return the total."""
         totals = self.totals[side]
         total, expires_s = totals.get(key, (0.0, -1.0))
         if expires_s <= now_s:
--- a/hookport/rehearsal/standins/datagrams.py
+++ b/hookport/rehearsal/standins/datagrams.py
@@ -1,8 +1,7 @@
-"""Datagrams between limiters: each sees the others under addresses of its own; late, lost, counted, cut.
+"""A relay for datagrams between limiters, with delay, loss, partitions and counts of the traffic.
 
-For each ordered pair of limiters there is one socket. Limiter ``i`` sends to socket ``(i, j)`` what is for
-``j``, and what comes back from there is from ``j``: so a limiter that believes a sender's address believes
-the kit's, as behind any network that rewrites addresses.
+There is one socket per ordered pair of limiters. Limiter ``i`` sends datagrams for ``j`` to socket ``(i, j)``
+and receives those from ``j`` from the same socket, so it sees a rewritten source address, as behind NAT.
 """
 
 from __future__ import annotations
@@ -13,12 +12,12 @@
 
 from hookport.rehearsal.loops import Place
 
-MAX_DATAGRAM_BYTES = 256  # bytes of a datagram; what is larger is dropped and counted
-RandomSource = Callable[[str, int], float]  # a number from 0 to 1 for the n-th datagram
+MAX_DATAGRAM_BYTES = 256  # a larger datagram is counted and dropped
+RandomSource = Callable[[str, int], float]  # (purpose, datagram number): a number from 0 to 1
 
 
 class RelaySocket(asyncio.DatagramProtocol):
-    """The socket at which ``sender`` reaches ``receiver``."""
+    """The socket at which ``sender`` reaches ``receiver``; ignores datagrams from any other port."""
 
     def __init__(self, relay: DatagramRelay, sender: int, receiver: int) -> None:
         self.relay, self.sender, self.receiver = relay, sender, receiver
@@ -31,15 +30,15 @@
             self.relay.forward(self.sender, self.receiver, data)
 
     def error_received(self, exc: Exception) -> None:
-        self.relay.refused += 1  # the limiter is down: nobody is owed a datagram
+        self.relay.refused += 1  # the limiter is down; the datagram is lost
 
 
 class DatagramRelay:
-    """Carries datagrams between limiters.
+    """Relays datagrams between limiters.
 
-    ``loss`` is the share that is lost, ``delay_s`` the range of delays in seconds, ``drawn`` the chance, by
-    purpose and number.  ``sent``, ``largest`` and ``busiest`` count by sender and receiver for the judge:
-    datagrams sent, bytes of the largest one, and datagrams that came to a receiver in its busiest second."""
+    ``loss_share`` is the share lost, ``delay_s`` the minimum and maximum delay, ``random`` the source of
+    random numbers. Counted for the judge: datagrams ``sent`` and ``largest_bytes`` per sender, and per
+    receiver the datagrams delivered in its ``busiest_second``."""
 
     def __init__(
         self,
@@ -49,9 +48,9 @@
         random: RandomSource,
     ) -> None:
         self.loop, self.loss_share, self.delay_s, self.random = loop, loss_share, delay_s, random
-        self.ports: list[int] = []  # at which limiters listen
+        self.ports: list[int] = []  # where the limiters listen
         self.sockets: dict[tuple[int, int], RelaySocket] = {}
-        self.partitions: tuple[frozenset[int], ...] = ()  # no datagram goes from one of them to another
+        self.partitions: tuple[frozenset[int], ...] = ()  # datagrams pass only within one of these groups
         self.datagram_count = self.refused = 0
         self.sent: list[int] = []
         self.largest_bytes: list[int] = []
@@ -59,7 +58,7 @@
         self.current_second: list[tuple[int, int]] = []
 
     async def start(self, ports: list[int]) -> list[list[str]]:
-        """Open the doors; for each limiter the addresses of all by index, its own among them."""
+        """Open the sockets; return, per limiter, the address of each limiter by index (its own included)."""
         self.ports, count = ports, len(ports)
         self.sent, self.largest_bytes, self.busiest_second = [0] * count, [0] * count, [0] * count
         self.current_second = [(0, 0)] * count
@@ -75,7 +74,7 @@
         return addresses
 
     def is_partitioned(self, first: int, second: int) -> bool:
-        """Whether a cut runs between two limiters; one that is on no side is cut off from all."""
+        """Return whether two limiters are in different partitions; a limiter in none reaches nobody."""
         return bool(self.partitions) and not any(first in side and second in side for side in self.partitions)
 
     def forward(self, sender: int, receiver: int, data: bytes) -> None:
@@ -94,7 +93,7 @@
         second, received = self.current_second[receiver]
         self.current_second[receiver] = (now, received + 1 if now == second else 1)
         self.busiest_second[receiver] = max(self.busiest_second[receiver], self.current_second[receiver][1])
-        socket = self.sockets[receiver, sender]  # at which the receiver sees this sender
+        socket = self.sockets[receiver, sender]  # the receiver sees this sender at this socket
         if not socket.transport.is_closing():
             socket.transport.sendto(data, (Place.host, self.ports[receiver]))
 
--- a/hookport/rehearsal/standins/discovery.py
+++ b/hookport/rehearsal/standins/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the truth about the fleet, and one agent for each limiter that hears of it late."""
+"""Simulated discovery: the true state of the fleet, and one agent per limiter that learns of it late."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 from hookport.rehearsal.loops import Note, Place, listen
 
-KEEPALIVE_INTERVAL_S = 2.0  # an empty line comes this often while nothing changes
+KEEPALIVE_INTERVAL_S = 2.0  # between the empty lines that keep an idle watch alive
 REQUEST = re.compile(rb"GET (/v1/endpoints)(?:\?(\S*))? HTTP/1\.[01]\r\n")
 MAX_REQUEST_BYTES = 16_384
-MAX_CHANGES = 1000
+MAX_CHANGES = 1000  # a watch further behind than this gets the full list
 Entry = dict[str, Any]
 
 
 class Watcher(asyncio.Protocol):
-    """One connection of a limiter to its agent."""
+    """A connection from a limiter to its agent."""
 
     def __init__(self, agent: Agent) -> None:
         self.agent = agent
@@ -62,9 +62,10 @@
 
 
 class Agent:
-    """The agent on one limiter's machine: it has what it was sent, and is silent while discovery is down.
+    """The discovery agent of one limiter: applies changes after a delay, sends nothing while silent.
 
-    ``place`` gives the address of a server as this limiter sees it."""
+    ``address`` returns the address at which this limiter reaches a server. A limiter counts as notified of a
+    change once it is written to a watch, at the latest ``assume_notified_after_s`` after the agent got it."""
 
     def __init__(
         self,
@@ -78,12 +79,12 @@
         self.loop, self.limiter, self.delay_s = loop, limiter, delay_s
         self.address, self.note, self.assume_notified_after_s = address, note, assume_notified_after_s
         self.entries: dict[str, Entry] = {}
-        self.changes: list[tuple[int, Entry]] = []  # generation and entry, the oldest first
+        self.changes: list[tuple[int, Entry]] = []  # generation and entry, oldest first
         self.generation = 1
         self.silent = False
-        self.pending: list[tuple[int, list[Entry]]] = []  # came in while discovery was down
-        self.notified: dict[str, tuple[str, int]] = {}  # what this limiter was told last of each server
-        self.watchers: dict[Watcher, None] = {}  # in the order of their coming
+        self.pending: list[tuple[int, list[Entry]]] = []  # received while silent
+        self.notified: dict[str, tuple[str, int]] = {}  # last lifecycle and start time recorded, by server
+        self.watchers: dict[Watcher, None] = {}  # in order of arrival
         self.listener: asyncio.Server | None = None
         self.port = 0
 
@@ -93,7 +94,7 @@
         return self.port
 
     def stop_listening(self) -> bool:
-        """Take no new connection; whether it did before."""
+        """Refuse new connections; return whether the agent was listening before."""
         if listener := self.listener:
             listener.close()
             self.keepalive_timer.cancel()
@@ -106,7 +107,7 @@
             watcher.transport.abort()
 
     async def change_address(self) -> int:
-        """Go to a new address, down there too if it is down; the old connections close after 1.5 s."""
+        """Move to a new port; a closed agent stays closed. The old connections close after 1.5 s."""
         old, was_listening = list(self.watchers), self.stop_listening()
 
         def close_old_connections() -> None:
@@ -126,10 +127,10 @@
                     watcher.send_line(b"")
         self.keepalive_timer = self.loop.call_later(KEEPALIVE_INTERVAL_S, self.send_keepalives)
 
-    # What comes from discovery
+    # Changes from discovery
 
     def receive(self, generation: int, entries: list[Entry]) -> None:
-        """A change of the fleet, on its way to this agent."""
+        """Apply a change of the fleet after this agent's delay."""
         self.loop.call_later(self.delay_s, self.apply, generation, entries)
 
     def apply(self, generation: int, entries: list[Entry]) -> None:
@@ -147,7 +148,7 @@
         for watcher in list(self.watchers):
             if watcher.streaming:
                 self.send_changes(watcher)
-        # Guards against a limiter that escapes the rule on drains by not listening.
+        # A limiter that doesn't read its watch must still stop sending to a draining server.
         self.loop.call_later(self.assume_notified_after_s, self.assume_notified, entries)
 
     def set_silent(self, silent: bool) -> None:
@@ -160,7 +161,7 @@
                 if watcher.streaming:
                     self.send_changes(watcher)
 
-    # What goes to the limiter
+    # Responses to the limiter
 
     def with_address(self, entry: Entry) -> Entry:
         return {**entry, "hostPort": self.address(entry)}
@@ -172,7 +173,7 @@
         return {"generation": self.generation, "reset": True, "instances": rows}
 
     def send_changes(self, watcher: Watcher) -> None:
-        """Write what the watch lacks: the changes since its version, or the whole list."""
+        """Send a watch the changes since its generation, or the full list if those are no longer kept."""
         if self.silent or watcher.sent_generation == self.generation:
             return
         oldest = self.changes[0][0] if self.changes else self.generation
@@ -209,7 +210,7 @@
                 self.record_notified([entry], False)
 
     def known_list(self, notified: bool = False) -> dict[str, Any]:
-        """The list as this limiter last had it, for its configuration; ``told`` when it starts with it."""
+        """Return the list for the limiter's configuration; ``notified`` if the limiter starts with it now."""
         rows = [self.with_address(entry) for entry in self.entries.values()]
         if notified:
             self.record_notified(rows, True)
@@ -217,7 +218,7 @@
 
 
 class Fleet:
-    """The truth about the servers; every agent hears of each change."""
+    """The true state of the servers; sends each change to every agent."""
 
     def __init__(self) -> None:
         self.generation = 1
@@ -225,14 +226,14 @@
         self.agents: list[Agent] = []
 
     def add(self, *entries: Entry) -> None:
-        """The fleet before the evening: known to all."""
+        """Add servers that every agent knows from the start."""
         for entry in entries:
             self.entries[entry["instanceId"]] = entry
             for agent in self.agents:
                 agent.entries[entry["instanceId"]] = entry
 
     def change(self, id: str, **fields: Any) -> None:
-        """Something of a server is new; DELETED takes it out."""
+        """Update fields of a server's entry; lifecycle DELETED removes the entry."""
         entry = {**self.entries.get(id, {}), "instanceId": id, **fields}
         self.generation += 1
         if entry["lifecycle"] == "DELETED":
--- a/hookport/rehearsal/standins/proxy.py
+++ b/hookport/rehearsal/standins/proxy.py
@@ -1,4 +1,4 @@
-"""A fault proxy between any two: what a network, a dying machine or a bad peer does to a connection."""
+"""A TCP proxy that injects the faults of a network, a failing machine or a misbehaving peer."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from hookport.rehearsal.standins.server import LINGER_RESET
 
 Mode = Literal["pass", "delay", "silence", "reset", "trickle", "truncate", "garbage", "refuse"]
-TRICKLE_S = 0.01  # between two bytes
+TRICKLE_S = 0.01  # between bytes
 NOISE = b"$3\r\n\xff\x00!\r\n+noise\r\n"
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """Close with a reset instead of an orderly end."""
+    """Close with a TCP reset instead of an orderly shutdown."""
     sock = transport.get_extra_info("socket")
     if sock is not None:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
@@ -24,14 +24,14 @@
 
 
 class ProxyConnection(asyncio.Protocol):
-    """One of the two connections of a pair; what it reads goes to the other, as the proxy's mode has it."""
+    """One connection of a proxied pair; forwards its data to the other as the proxy's mode demands."""
 
     def __init__(self, proxy: Proxy, peer: ProxyConnection | None = None) -> None:
         self.proxy, self.peer = proxy, peer
         self.transport: asyncio.Transport | None = None
-        self.buffered: list[bytes] = []  # until the other side is there
-        self.passed_bytes = 0  # bytes, from this side to the other
-        self.is_target_side = peer is not None  # this is the far side: its bytes are answers
+        self.buffered: list[bytes] = []  # received before the peer connected
+        self.passed_bytes = 0  # forwarded from this connection to its peer
+        self.is_target_side = peer is not None  # connected to the target; its data are replies
         self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -56,7 +56,7 @@
             self.forward(data)
 
     def forward(self, data: bytes) -> None:
-        """Pass bytes on; harm is done to answers only, except delay and silence."""
+        """Forward data to the peer; faults apply to replies only, except delay and silence."""
         proxy = self.proxy
         peer = self.peer
         if peer is None or peer.transport is None or peer.transport.is_closing():
@@ -87,7 +87,7 @@
         self.closed = True
         self.proxy.connections.pop(self, None)
         peer = self.peer
-        # A machine that is cut off says nothing, not even that it has gone.
+        # A machine that is cut off sends neither FIN nor RST.
         if peer and peer.transport and self.proxy.mode != "silence":
             if isinstance(exc, ConnectionResetError):
                 reset(peer.transport)
@@ -98,13 +98,16 @@
 
 
 class Proxy:
-    """Listens in place of the target; ``set`` changes what it does to open and new connections."""
+    """Listens in place of a target; ``set_mode`` sets the fault for open and new connections.
+
+    ``target`` returns the target's port. In modes ``reset`` and ``truncate`` a connection ends after
+    ``cut_after_bytes`` bytes of replies, counted from ``set_mode``."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, target: Callable[[], int]) -> None:
         self.loop, self.target = loop, target
         self.mode: Mode = "pass"
         self.delay_s, self.cut_after_bytes = 0.1, 40
-        self.connections: dict[ProxyConnection, None] = {}  # in the order of their coming
+        self.connections: dict[ProxyConnection, None] = {}  # in order of arrival
         self.listener: asyncio.Server | None = None
         self.port = 0
 
@@ -122,7 +125,7 @@
                 reset(client_side.transport)
 
     def set_mode(self, mode: str, delay_s: float = 0.1, cut_after_bytes: int = 40) -> None:
-        """Do this harm from now on; ``pass`` after ``silence`` resets what was cut off."""
+        """Inject this fault from now on; leaving ``silence`` resets the connections that were open."""
         before, self.mode = self.mode, cast(Mode, mode)
         self.delay_s, self.cut_after_bytes = delay_s, cut_after_bytes
         for connection in list(self.connections):
--- a/hookport/rehearsal/standins/server.py
+++ b/hookport/rehearsal/standins/server.py
@@ -1,7 +1,7 @@
-"""A desk server: cores, a waiting room, a cold start, falling over, and a ledger of effects.
+"""A simulated desk server: cores, a bounded queue, slow start after a restart, overload, recorded effects.
 
-It listens once for each limiter, so that the history tells whose attempt came.  Work is done by timers:
-what matters to a limiter is when answers come and what is lost, not the heat.
+It opens one listener per limiter, so that the history shows which limiter sent an attempt. Work is simulated
+with timers and uses no CPU: a limiter sees only when replies arrive and which ones are lost.
 """
 
 from __future__ import annotations
@@ -19,14 +19,15 @@
 
 from hookport.rehearsal.loops import Note, Place, Slots, listen
 
-LINGER_RESET = struct.pack("ii", 1, 0)
-OVERLOAD_SLACK_JOBS = 4.0  # mean works that chance alone may send beyond the budget
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a zero timeout: close() sends a TCP reset
+# Work that may exceed the overload budget, in jobs of mean length: arrivals are random.
+OVERLOAD_SLACK_JOBS = 4.0
 EventHook = Callable[[str, "Server", "Job"], None]
 
 
 @dataclass(frozen=True)
 class Model:
-    """How a server works; times in seconds, work in seconds of one core of speed 1."""
+    """Capacity and limits of a server. Work is measured in seconds of one core of speed 1."""
 
     cores: int = 2
     speed: float = 1.0
@@ -42,7 +43,7 @@
     mean_work_s: float = 0.05
 
     def capacity(self, age_s: float) -> float:
-        """Core seconds a second of speed 1, at that time after a cold start."""
+        """Return the work done per second ``age_s`` after a cold start; it grows linearly to full speed."""
         warm = min(
             1.0, self.cold_capacity_share + (1 - self.cold_capacity_share) * max(0.0, age_s) / self.warm_up_s
         )
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSpec:
-    """What the plan knows of a request that comes to a server: work in seconds, and who asks."""
+    """What the plan defines for a request: its work, whether it has side effects, whether it fails."""
 
     work_s: float
     unsafe: bool
@@ -59,7 +60,7 @@
 
 
 class Job:
-    """One attempt at a server."""
+    """One attempt that a server has accepted, from arrival to reply."""
 
     __slots__ = ("attempt_id", "connection", "id", "limiter", "slot", "state", "timer", "spec")
 
@@ -73,14 +74,14 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection of a limiter."""
+    """A connection from a limiter."""
 
     def __init__(self, server: Server, limiter: int) -> None:
         self.server, self.limiter = server, limiter
         self.parser = hiredis.Reader()
         self.first_byte_ns = 0
         self.partial = False
-        self.jobs: dict[Job, None] = {}  # in the order of their coming
+        self.jobs: dict[Job, None] = {}  # in order of arrival
         self.last_used_s = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -103,7 +104,7 @@
         self.partial = self.parser.has_data()
 
     def reset(self) -> None:
-        """End as the connection of a process that died does: with a reset."""
+        """Close with a TCP reset, as when the process at this end dies."""
         sock = self.transport.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
@@ -114,7 +115,7 @@
 
 
 class Server:
-    """A desk server that can be killed, slowed, drained and started again."""
+    """A desk server that can be killed, slowed down, drained and restarted."""
 
     def __init__(
         self,
@@ -130,17 +131,17 @@
         self.id, self.incarnation = "", 0
         self.ports: list[int] = []
         self.listeners: list[asyncio.Server] = []
-        self.connections: dict[Connection, None] = {}  # in the order of their coming
+        self.connections: dict[Connection, None] = {}  # in order of arrival
         self.queue: deque[Job] = deque()
-        self.running: dict[Job, None] = {}  # in the order of their coming
-        self.recent_work: deque[tuple[float, float]] = deque()  # work that came lately, while cold
+        self.running: dict[Job, None] = {}  # in order of arrival
+        self.recent_work: deque[tuple[float, float]] = deque()  # overload window: arrival time, work
         self.recent_work_s = 0.0
         self.up, self.cold, self.draining = False, False, False
         self.slowness = 1.0
         self.started_s, self.started_ms, self.attempt_count, self.served = 0.0, 0, 0, 0
 
     async def start(self, id: str, limiters: int, cold: bool = False) -> None:
-        """Listen, at the same addresses as before if there were any."""
+        """Start listening, on the ports of the previous start if there was one."""
         self.id, self.incarnation = id, self.incarnation + 1
         old, self.ports = self.ports, []
         for limiter in range(limiters):
@@ -158,7 +159,7 @@
                    "cores": self.model.cores, "speed": self.model.speed, "cold": cold})  # fmt: skip
 
     def stop(self, why: str) -> None:
-        """Die: every connection is reset, what was at work is lost, new connections are refused."""
+        """Stop like a killed process: reset all connections, drop all jobs, refuse new connections."""
         if not self.up:
             return
         self.up = False
@@ -194,7 +195,7 @@
             self.loop.call_later(max(0.1, self.model.idle_timeout_s - idle_s), self.close_if_idle, connection)
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """What a closed connection stops depends on the server."""
+        """Cancel the jobs of a closed connection as far as ``Model.cancel`` says."""
         self.connections.pop(connection, None)
         for job in list(connection.jobs):
             is_cancelled = job.state == "waiting" and self.model.cancel != "none"
@@ -264,9 +265,9 @@
         self.start_jobs()
 
     def overloads(self, work_s: float, now_ns: int) -> bool:
-        """A cold server that gets more than its budget in one window falls over for good.
+        """Add work to the overload window; stop a cold server for good if the window exceeds its budget.
 
-        Reckoned by the times that stand in the history, so that the referee comes to the same sums."""
+        Uses the timestamps written to the history, so that the referee computes the same sums."""
         now_s = now_ns / 1e9
         if not self.cold or now_s - self.started_s >= self.model.warm_up_s:
             return False
--- a/hookport/rehearsal/world.py
+++ b/hookport/rehearsal/world.py
@@ -1,6 +1,6 @@
-"""The world's process: servers, counter, discovery agents, proxies, and the timeline of faults.
+"""Worker process with the simulated servers, counter, discovery agents and proxies, and their faults.
 
-Started by the orchestrator; takes orders on standard input and tells events on standard output.
+The orchestrator starts it, sends commands on its standard input and reads events from its standard output.
 """
 
 from __future__ import annotations
@@ -20,11 +20,13 @@
 from hookport.rehearsal.standins import Agent, Counter, DatagramRelay, Fleet, Model, Proxy, Server
 from hookport.rehearsal.standins.server import Job, RequestSpec
 
-REGISTRATION_DELAY_S = 0.05  # from the start of a server's process until discovery knows of it
+REGISTRATION_DELAY_S = 0.05  # from the start of a server until discovery lists it
 
 
 class World:
-    """All stand-ins of one evening but for the clients."""
+    """Everything that the limiters of one run talk to, except the clients.
+
+    ``send_event`` reports an event to the orchestrator as keyword arguments."""
 
     def __init__(
         self, plan: plans.Plan, seed: int, recorder: Recorder, send_event: Callable[..., None]
@@ -46,7 +48,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, limiter_ports: list[int], peer_ports: list[int]) -> dict[str, Any]:
-        """Listen everywhere; returns the addresses that limiters and desks are to use."""
+        """Start all listeners; return the addresses for the limiters' configuration and for the clients."""
         plan, seed, limiters = self.plan, self.seed, self.plan.limiters.count
         self.limiter_ports = limiter_ports
         fleet = plan.fleet
@@ -124,7 +126,7 @@
                            "largest": largest, "busiest": busiest})  # fmt: skip
             self.datagrams.close()
 
-    # Who is where
+    # Addresses and discovery entries
 
     def server_id(self, index: int, incarnation: int) -> str:
         return f"s-{index:02d}-{int(draw.uniform(self.seed, 'id', index, incarnation) * (1 << 32)):08x}"
@@ -172,10 +174,10 @@
         self.proxies[key] = Proxy(self.loop, targets[fault.to])
         await self.proxies[key].start()
 
-    # What requests are
+    # Requests
 
     def look_up(self, id: str) -> RequestSpec | None:
-        """What the plan says of a request that came to a server; None if no client sent it."""
+        """Return what the plan defines for a request id, or None if no client sends that id."""
         found = draw.request_of(self.seed, id)
         if found is None or found[0] >= len(self.arrivals):
             return None
@@ -195,7 +197,7 @@
         self.answer_count += 1
         return draw.uniform(self.seed, "lost", self.answer_count) < share
 
-    # The timeline
+    # Faults
 
     def schedule_faults(self, start_ns: int) -> None:
         self.start_ns = start_ns
@@ -208,7 +210,7 @@
         self.loop.call_later(max(0.0, wait_s), self.start_fault, number, None)
 
     def on_server_event(self, event: str, server: Server, job: Job) -> None:
-        """An event at a server: it may be what a fault waits for."""
+        """Start the faults whose ``when`` condition this event meets."""
         if not self.pending_faults or not self.start_ns:
             return
         now_s = (Place.clock_ns() - self.start_ns) / 1e9
@@ -219,14 +221,14 @@
                 self.start_fault(number, server, job)
 
     def start_fault(self, number: int, server: Server | None, job: Job | None = None) -> None:
-        """Begin a fault at once; what takes time goes on by itself."""
+        """Start a fault now; a task continues what takes time."""
         fault = self.plan.fault[number]
         targets = self.targets(number, server)
-        if isinstance(fault, plans.Kill):  # now, not a turn of the loop later: the event is the cause
+        if isinstance(fault, plans.Kill):  # in this loop iteration: the triggering event must not complete
             for target in targets:
                 target.stop("killed")
         if isinstance(fault, plans.Limiter) and job is not None:
-            fault = msgspec.structs.replace(fault, limiter=job.limiter)  # the one that sent it
+            fault = msgspec.structs.replace(fault, limiter=job.limiter)  # the limiter that sent the job
         task = self.loop.create_task(self.run_fault(fault, targets))
         self.tasks.add(task)
         task.add_done_callback(self.on_fault_done)
@@ -234,7 +236,7 @@
     def on_fault_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
-            self.send_event(ev="failed", why=f"a fault of the timeline: {type(error).__name__}: {error}")
+            self.send_event(ev="failed", why=f"injecting a fault failed: {type(error).__name__}: {error}")
 
     def targets(self, number: int, server: Server | None) -> list[Server]:
         fault = self.plan.fault[number]
@@ -286,7 +288,9 @@
             await self.run_link_fault(fault)
 
     async def restart_killed(self, server: Server, fault: plans.Kill) -> None:
-        """Discovery notices late that a server has died, or that it is back before it noticed."""
+        """Report a killed server to discovery after a delay, and restart it if the fault says so.
+
+        A server that is back before that delay is reported as deleted only if another id replaces it."""
         old = server.id
         notice_s = draw.between(*self.plan.fleet.delete_s, self.seed, "notice", server.index)
         back_s = fault.back_s
@@ -377,7 +381,7 @@
 
 
 class WorldWorker:
-    """The orders of the orchestrator to this process."""
+    """Executes the commands that the orchestrator sends to this process."""
 
     world: World
     recorder: Recorder
