--- a/hookport/rehearsal/desks.py
+++ b/hookport/rehearsal/desks.py
@@ -89,7 +89,7 @@
 
     def __init__(self, plan: plans.Plan, seed: int, recorder: Recorder, ports: list[int]) -> None:
         self.plan, self.seed, self.ports = plan, seed, ports
-        self.note = recorder.note
+        self.write_row = recorder.note
         self.loop = asyncio.get_running_loop()
         self.arrivals = draw.arrivals(plan, seed)
         self.next_arrival = 0
@@ -128,9 +128,9 @@
             self.next_arrival += 1
             self.open_due_ns[arrival.number] = self.start_ns + arrival.at_ns
             self.asked += 1
-            self.note({"e": "due", "t": self.start_ns + arrival.at_ns, "n": arrival.number, "c": arrival.kind,
-                       "q": arrival.quota, "u": arrival.units, "cu": arrival.customer,
-                       "late": round((now_ns - arrival.at_ns) / 1e6, 2)})  # fmt: skip
+            self.write_row({"e": "due", "t": self.start_ns + arrival.at_ns, "n": arrival.number,
+                            "c": arrival.kind, "q": arrival.quota, "u": arrival.units, "cu": arrival.customer,
+                            "late": round((now_ns - arrival.at_ns) / 1e6, 2)})  # fmt: skip
             self.start_attempt(arrival, 0)
 
     # Attempts
@@ -221,9 +221,9 @@
         if not last:
             return
         attempt.sent_s = self.loop.time()
-        self.note({"e": "ask", "t": Place.clock_ns(), "id": attempt.id, "n": attempt.arrival.number,
-                   "k": attempt.number, "l": attempt.limiter, "p": connection.incarnation,
-                   "d": attempt.wait_ms})  # fmt: skip
+        self.write_row({"e": "ask", "t": Place.clock_ns(), "id": attempt.id, "n": attempt.arrival.number,
+                        "k": attempt.number, "l": attempt.limiter, "p": connection.incarnation,
+                        "d": attempt.wait_ms})  # fmt: skip
         wait_s = (attempt.wait_ms + self.plan.judge.grace_ms + 10) / 1000
         if attempt.timer:
             attempt.timer.cancel()
@@ -278,7 +278,7 @@
 
     def record_unexpected_reply(self, connection: ClientConnection) -> None:
         if not connection.transport.is_closing():
-            self.note({"e": "extra", "t": Place.clock_ns(), "l": connection.limiter})
+            self.write_row({"e": "extra", "t": Place.clock_ns(), "l": connection.limiter})
             connection.transport.abort()
 
     def finish_attempt(
@@ -297,7 +297,7 @@
             row["v"] = value
         if retry_after_ms:
             row["ms"] = retry_after_ms
-        self.note(row)
+        self.write_row(row)
         self.served += outcome == "value"
         self.refused += outcome == "busy"
         may_retry = outcome in ("busy", "unsent") or self.plan.classes[arrival.kind].repeat == "safe"
@@ -358,7 +358,7 @@
             ok = True  # a reset counts as a close
         finally:
             writer.transport.abort()
-        self.note({"e": "rude", "t": Place.clock_ns(), "l": limiter, "ok": ok, "served": served})
+        self.write_row({"e": "rude", "t": Place.clock_ns(), "l": limiter, "ok": ok, "served": served})
 
     def stop(self) -> None:
         self.stopped = True
@@ -380,7 +380,7 @@
             plan = msgspec.convert(order["plan"], plans.Plan)
             self.recorder = Recorder(order["part"])
             self.desks = Desks(plan, order["seed"], self.recorder, order["ports"])
-            self.lag = Lag(self.desks.loop, "desks", self.desks.note)
+            self.lag = Lag(self.desks.loop, "desks", self.desks.write_row)
             arrivals = self.desks.arrivals
             orders.tell(ev="ready", requests=len(arrivals), digest=draw.digest(arrivals))
         elif order["op"] == "go":
--- a/hookport/rehearsal/standins/discovery.py
+++ b/hookport/rehearsal/standins/discovery.py
@@ -73,11 +73,15 @@
         limiter: int,
         delay_s: float,
         address: Callable[[Entry], str],
-        note: Note,
+        write_row: Note,
         assume_notified_after_s: float = 6.0,
     ) -> None:
         self.loop, self.limiter, self.delay_s = loop, limiter, delay_s
-        self.address, self.note, self.assume_notified_after_s = address, note, assume_notified_after_s
+        self.address, self.write_row, self.assume_notified_after_s = (
+            address,
+            write_row,
+            assume_notified_after_s,
+        )
         self.entries: dict[str, Entry] = {}
         self.changes: list[tuple[int, Entry]] = []  # generation and entry, oldest first
         self.generation = 1
@@ -199,8 +203,8 @@
             state, started_ms = row["lifecycle"], row["startedAtMs"]
             if self.notified.get(row["instanceId"]) != (state, started_ms):
                 self.notified[row["instanceId"]] = (state, started_ms)
-                self.note({"e": "told", "t": Place.clock_ns(), "l": self.limiter, "s": row["instanceId"],
-                           "state": state, "born": started_ms, "arrived": arrived})  # fmt: skip
+                self.write_row({"e": "told", "t": Place.clock_ns(), "l": self.limiter, "s": row["instanceId"],
+                                "state": state, "born": started_ms, "arrived": arrived})  # fmt: skip
 
     def assume_notified(self, entries: list[Entry]) -> None:
         for entry in entries:
--- a/hookport/rehearsal/standins/server.py
+++ b/hookport/rehearsal/standins/server.py
@@ -20,7 +20,7 @@
 from hookport.rehearsal.loops import Note, Place, Slots, listen
 
 LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a zero timeout: close() sends a TCP reset
-# Work that may exceed the overload budget, in jobs of mean length: arrivals are random.
+# Tolerated work above the overload budget, in jobs of mean length, because arrivals are random.
 OVERLOAD_SLACK_JOBS = 4.0
 EventHook = Callable[[str, "Server", "Job"], None]
 
@@ -123,11 +123,11 @@
         index: int,
         model: Model,
         look_up: Callable[[str], RequestSpec | None],
-        note: Note,
+        write_row: Note,
         hook: EventHook | None = None,
     ) -> None:
         self.loop, self.index, self.model = loop, index, model
-        self.look_up, self.note, self.hook = look_up, note, hook
+        self.look_up, self.write_row, self.hook = look_up, write_row, hook
         self.id, self.incarnation = "", 0
         self.ports: list[int] = []
         self.listeners: list[asyncio.Server] = []
@@ -155,8 +155,8 @@
         self.started_ms = Place.unix_ns() // 1_000_000 if cold else 0
         self.recent_work.clear()
         self.recent_work_s = 0.0
-        self.note({"e": "up", "t": started_ns, "s": id, "i": self.index, "born": self.started_ms,
-                   "cores": self.model.cores, "speed": self.model.speed, "cold": cold})  # fmt: skip
+        self.write_row({"e": "up", "t": started_ns, "s": id, "i": self.index, "born": self.started_ms,
+                        "cores": self.model.cores, "speed": self.model.speed, "cold": cold})  # fmt: skip
 
     def stop(self, why: str) -> None:
         """Stop like a killed process: reset all connections, drop all jobs, refuse new connections."""
@@ -174,7 +174,7 @@
         self.queue.clear()
         for connection in list(self.connections):
             connection.reset()
-        self.note({"e": "down", "t": Place.clock_ns(), "s": self.id, "i": self.index, "why": why})
+        self.write_row({"e": "down", "t": Place.clock_ns(), "s": self.id, "i": self.index, "why": why})
 
     # Connections
 
@@ -213,8 +213,8 @@
     # Commands
 
     def record_syntax_error(self, connection: Connection, why: str) -> None:
-        self.note({"e": "syntax", "t": Place.clock_ns(), "l": connection.limiter, "s": self.id,
-                   "why": why[:120]})  # fmt: skip
+        self.write_row({"e": "syntax", "t": Place.clock_ns(), "l": connection.limiter, "s": self.id,
+                        "why": why[:120]})  # fmt: skip
 
     def handle_command(self, connection: Connection, arguments: Any, first_byte_ns: int, now_ns: int) -> None:
         connection.last_used_s = self.loop.time()
@@ -250,15 +250,16 @@
         self.attempt_count += 1
         attempt_id = (self.index << 40) | (self.incarnation << 32) | self.attempt_count
         job = Job(attempt_id, arguments[2].decode(), spec, connection, slot)
-        self.note({"e": "arrive", "t": now_ns, "f": first_byte_ns, "id": job.id, "s": self.id,
-                   "l": connection.limiter, "w": round(spec.work_s * 1000, 3), "a": attempt_id})  # fmt: skip
+        self.write_row({"e": "arrive", "t": now_ns, "f": first_byte_ns, "id": job.id, "s": self.id,
+                        "l": connection.limiter, "w": round(spec.work_s * 1000, 3),
+                        "a": attempt_id})  # fmt: skip
         if spec.unsafe and self.hook:
             self.hook("claim-received", self, job)
         if not self.up or self.overloads(spec.work_s, now_ns):
             return
         is_full = len(self.running) >= self.model.cores and len(self.queue) >= self.model.queue_capacity
         if is_full or self.draining:
-            self.note({"e": "turned", "t": Place.clock_ns(), "id": job.id, "a": attempt_id})
+            self.write_row({"e": "turned", "t": Place.clock_ns(), "id": job.id, "a": attempt_id})
             return connection.slots.give(slot, b"-BUSY\r\n")
         connection.jobs[job] = None
         self.queue.append(job)
@@ -282,7 +283,7 @@
         )
         if self.recent_work_s <= budget_s + OVERLOAD_SLACK_JOBS * self.model.mean_work_s:
             return False
-        self.note({"e": "fell", "t": Place.clock_ns(), "s": self.id})
+        self.write_row({"e": "fell", "t": Place.clock_ns(), "s": self.id})
         self.stop("fell over")
         return True
 
@@ -306,7 +307,9 @@
         job.state = "over"
         job.connection.jobs.pop(job, None)
         if job.spec.unsafe:
-            self.note({"e": "effect", "t": Place.clock_ns(), "id": job.id, "s": self.id, "a": job.attempt_id})
+            self.write_row(
+                {"e": "effect", "t": Place.clock_ns(), "id": job.id, "s": self.id, "a": job.attempt_id}
+            )
             if self.hook:
                 self.hook("claim-effect", self, job)
         if self.up:
@@ -319,7 +322,7 @@
         if job.spec.fails:
             return job.connection.slots.give(job.slot, b"-ERR failed\r\n")
         value = f"{self.id}/{job.id}/{job.attempt_id & 0xFFFFFFFF}"
-        self.note({"e": "reply", "t": Place.clock_ns(), "id": job.id, "v": value, "a": job.attempt_id})
+        self.write_row({"e": "reply", "t": Place.clock_ns(), "id": job.id, "v": value, "a": job.attempt_id})
         self.served += 1
         text = value.encode()
         job.connection.slots.give(job.slot, b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(text), text))
--- a/hookport/rehearsal/world.py
+++ b/hookport/rehearsal/world.py
@@ -33,7 +33,7 @@
     ) -> None:
         self.plan, self.seed, self.recorder, self.send_event = plan, seed, recorder, send_event
         self.loop = asyncio.get_running_loop()
-        self.note = recorder.note
+        self.write_row = recorder.note
         self.arrivals = draw.arrivals(plan, seed)
         self.fleet = Fleet()
         self.servers: list[Server] = []
@@ -68,7 +68,7 @@
                 error_share=fleet.error_share,
                 mean_work_s=mean_ms / 1000,
             )
-            server = Server(self.loop, n, model, self.look_up, self.note, self.on_server_event)
+            server = Server(self.loop, n, model, self.look_up, self.write_row, self.on_server_event)
             await server.start(self.server_id(n, 0), limiters)
             self.servers.append(server)
         for limiter in range(limiters):
@@ -76,7 +76,7 @@
             assume_notified_after_s = plan.discovery.told_within_s
             address = functools.partial(self.server_address, limiter=limiter)
             self.agents.append(
-                Agent(self.loop, limiter, delay_s, address, self.note, assume_notified_after_s)
+                Agent(self.loop, limiter, delay_s, address, self.write_row, assume_notified_after_s)
             )
             await self.agents[limiter].start()
         if plan.counter.present:
@@ -115,15 +115,15 @@
             proxy.close()
         if self.counter:
             for limiter, calls in enumerate(self.counter.calls):
-                self.note({"e": "counts", "t": Place.clock_ns(), "l": limiter, "calls": calls})
+                self.write_row({"e": "counts", "t": Place.clock_ns(), "l": limiter, "calls": calls})
             self.counter.close()
         if self.datagrams:
             figures = zip(
                 self.datagrams.sent, self.datagrams.largest_bytes, self.datagrams.busiest_second, strict=True
             )
             for limiter, (sent, largest, busiest) in enumerate(figures):
-                self.note({"e": "words", "t": Place.clock_ns(), "l": limiter, "sent": sent,
-                           "largest": largest, "busiest": busiest})  # fmt: skip
+                self.write_row({"e": "words", "t": Place.clock_ns(), "l": limiter, "sent": sent,
+                                "largest": largest, "busiest": busiest})  # fmt: skip
             self.datagrams.close()
 
     # Addresses and discovery entries
@@ -249,7 +249,7 @@
         ]
 
     def record_fault(self, text: str) -> None:
-        self.note({"e": "fault", "t": Place.clock_ns(), "text": text})
+        self.write_row({"e": "fault", "t": Place.clock_ns(), "text": text})
         self.send_event(ev="fault", text=text)
 
     async def run_fault(self, fault: plans.Fault, targets: list[Server]) -> None:
@@ -373,7 +373,7 @@
         if fault.to == "desks":
             until_ns = Place.clock_ns() + round((fault.for_s + 1) * 1e9)
             excuse = {"e": "excuse", "t": Place.clock_ns(), "l": fault.limiter, "until": until_ns}
-            self.note(excuse | ({"garbled": True} if fault.mode == "garbage" else {}))
+            self.write_row(excuse | ({"garbled": True} if fault.mode == "garbage" else {}))
         proxy.set_mode(fault.mode, fault.delay_ms / 1000, fault.byte)
         await asyncio.sleep(fault.for_s)
         proxy.set_mode("pass")
@@ -394,7 +394,7 @@
             self.recorder = Recorder(order["part"])
             self.world = World(plan, order["seed"], self.recorder, orders.tell)
             orders.tell(ev="ready", **await self.world.start(order["limiters"], order["words"]))
-            self.lag = Lag(self.world.loop, "world", self.world.note)
+            self.lag = Lag(self.world.loop, "world", self.world.write_row)
         elif order["op"] == "go":
             self.world.schedule_faults(order["start_ns"])
         elif order["op"] == "known":
