--- a/hookport/rehearsal/referee.py
+++ b/hookport/rehearsal/referee.py
@@ -27,7 +27,7 @@
 
 from hookport.rehearsal.history import Row
 from hookport.rehearsal.plan import Plan
-from hookport.rehearsal.standins.server import FALL_SLACK
+from hookport.rehearsal.standins.server import OVERLOAD_SLACK_JOBS
 
 SECOND = 1_000_000_000
 MS = 1_000_000
@@ -306,7 +306,7 @@
                 budget_ms = (
                     fleet.fall_multiple * up["cores"] * up["speed"] * capacity_share * fleet.fall_s * 1000
                 )
-                if window_work_ms <= ROUNDING_TOLERANCE * (budget_ms + FALL_SLACK * mean_ms):
+                if window_work_ms <= ROUNDING_TOLERANCE * (budget_ms + OVERLOAD_SLACK_JOBS * mean_ms):
                     continue
                 informed_work_ms = sum(
                     other["w"] for other in window
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -5,7 +5,7 @@
 
 import pytest
 import uvloop
-from world import Client, World, hold, query, serve, submit, until
+from world import Client, World, query, reply_when_released, serve, submit, until
 
 from hookport import clients, resp
 
@@ -99,7 +99,7 @@
 
 def test_pending_requests_fail_at_once_when_their_connection_is_closed_with_an_error() -> None:
     async def scenario() -> None:
-        async with World(hold, hold) as world:
+        async with World(reply_when_released, reply_when_released) as world:
             client, node = await (await world.start()).client(), world.node
             client.send(*submit(1))
             client.send(b"PING")
@@ -121,7 +121,7 @@
     """With two requests under one id, a server could not tell a new request from a retry."""
 
     async def scenario() -> None:
-        async with World(hold) as world:
+        async with World(reply_when_released) as world:
             client, other = await (await world.start()).client(), await world.client()
             client.send(*query(1))
             await until(lambda: world.stubs[0].commands)
--- a/tests/test_bad_servers.py
+++ b/tests/test_bad_servers.py
@@ -6,7 +6,19 @@
 
 import pytest
 import uvloop
-from world import VALUE, Stub, World, instance, list_update, never, saying, serve, soon, submit, until
+from world import (
+    VALUE,
+    Stub,
+    World,
+    instance,
+    list_update,
+    never_reply,
+    reply_with,
+    serve,
+    submit,
+    until,
+    within_timeout,
+)
 
 from aniseshed.interface import Outcome
 from hookport import counter, resp, servers
@@ -38,7 +50,7 @@
 
 def test_value_is_served_although_its_load_report_is_unreadable() -> None:
     async def scenario() -> None:
-        async with World(saying(b"*3\r\n$5\r\nvalue\r\n$3\r\n\xff\xfe\xfd\r\n:9\r\n")) as world:
+        async with World(reply_with(b"*3\r\n$5\r\nvalue\r\n$3\r\n\xff\xfe\xfd\r\n:9\r\n")) as world:
             client = await (await world.start()).client()
             assert await client.ask(*submit()) == b"value"
 
@@ -85,7 +97,7 @@
 ) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(servers, "STALL_TIMEOUT_S", 0.02)
-        async with World(saying(text)) as world:
+        async with World(reply_with(text)) as world:
             client = await (await world.start()).client()
             assert str(await client.ask(*submit())) == "ERR failed"
             assert "incomplete answer" in caplog.text
@@ -143,14 +155,14 @@
 @pytest.mark.parametrize("text", [b"$9\r\n12", b"+what", b"-WHAT\r\n", b"$3\r\nabc\r\n", b"$900\r\n"])
 def test_invalid_total_counts_as_timed_out_and_closes_the_connection(text: bytes) -> None:
     async def scenario() -> None:
-        async with World(serve, count=saying(text)) as world:
+        async with World(serve, count=reply_with(text)) as world:
             node = (await world.start()).node
             assert node and node.counter
             ends: list[Outcome] = []
             node.counter.on_end = lambda call, outcome, total: ends.append(outcome)
             node.counter.call(5, 1.0, 1000)
             await until(lambda: ends)
-            world.counter.handler = saying(b"$1\r\n7\r\n")
+            world.counter.handler = reply_with(b"$1\r\n7\r\n")
             await until(lambda: world.counter.closed)
             node.counter.call(5, 1.0, 1000)
             await until(lambda: len(ends) == 2)
@@ -161,7 +173,7 @@
 
 def test_silent_counter_connection_is_replaced_with_growing_delays() -> None:
     async def scenario() -> None:
-        stub = await Stub(never).start()
+        stub = await Stub(never_reply).start()
         ends: list[Outcome] = []
         calls = counter.Counter(
             asyncio.get_running_loop(), ("127.0.0.1", stub.port), 0.01, 5.0,
@@ -174,10 +186,10 @@
                 calls.call(1, 1.0, 10**9)
                 await asyncio.sleep(0.01)
 
-        await soon(call())
+        await within_timeout(call())
         assert calls.stall_s >= 4 * first_s  # the wait doubles with each silent connection in a row
         calls.close()
-        stub.die()
+        stub.kill()
 
     run(scenario)
 
@@ -185,7 +197,7 @@
 def test_value_larger_than_any_client_may_send_is_passed_on() -> None:
     async def scenario() -> None:
         value = b"x" * 400_000
-        async with World(saying(b"*3\r\n$400000\r\n%s\r\n$-1\r\n$-1\r\n" % value)) as world:
+        async with World(reply_with(b"*3\r\n$400000\r\n%s\r\n$-1\r\n$-1\r\n" % value)) as world:
             client = await (await world.start()).client()
             assert await client.ask(*submit()) == value
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -15,7 +15,19 @@
 from pathlib import Path
 
 import pytest
-from world import Discovery, World, instance, list_update, never, query, saying, serve, soon, submit, until
+from world import (
+    Discovery,
+    World,
+    instance,
+    list_update,
+    never_reply,
+    query,
+    reply_with,
+    serve,
+    submit,
+    until,
+    within_timeout,
+)
 
 from aniseshed.interface import Health, ServerEntry, Trust
 from hookport import config
@@ -140,7 +152,7 @@
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
-        async with World(serve, saying(b"220 mail ready\r\n"), never) as world:
+        async with World(serve, reply_with(b"220 mail ready\r\n"), never_reply) as world:
             save_snapshot(tmp_path / "k", world, 86_400)
             await use_snapshot(world, tmp_path / "k").start()
             client = await world.client()
@@ -158,7 +170,7 @@
 @pytest.mark.parametrize("pong", [b"+PONG\r\n", b"-ERR not ready\r\n"])
 def test_probes_prove_servers_only_if_the_settings_permit_them(tmp_path: Path, pong: bytes) -> None:
     async def scenario() -> None:
-        async with World(saying(pong)) as world:
+        async with World(reply_with(pong)) as world:
             save_snapshot(tmp_path / "k", world, 3600)
             await use_snapshot(world, tmp_path / "k").start()
             assert world.node and world.node.members
@@ -263,9 +275,9 @@
             process.send_signal(signal.SIGUSR1)
             text = b""
             while b"trusted=1" not in text:
-                text += await soon(process.stderr.readline())
+                text += await within_timeout(process.stderr.readline())
             process.send_signal(signal.SIGTERM)
-            assert await soon(process.wait()) == 0
+            assert await within_timeout(process.wait()) == 0
 
     asyncio.run(scenario())
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -9,7 +9,7 @@
 
 import hiredis
 import pytest
-from world import VALUE, Stub, World, query, saying, serve, soon, submit, until
+from world import VALUE, Stub, World, query, reply_with, serve, submit, until, within_timeout
 
 
 async def hold_submits(stub: Stub, args: list[bytes], writer: asyncio.StreamWriter) -> None:
@@ -22,7 +22,7 @@
     """Each request gets one reply through refusals, a server failure and a shutdown with requests pending."""
 
     async def scenario() -> None:
-        busy = saying(b"-BUSY\r\n")
+        busy = reply_with(b"-BUSY\r\n")
         async with World(hold_submits, hold_submits, count=busy, perSecond=0.01, storeSize=4.0) as world:
             await world.spawn(tmp_path)
             assert world.process
@@ -38,7 +38,7 @@
             client.send(*submit(20))
             await until(lambda: any(s.commands and s.commands[-1][0] == b"SVC.SUBMIT" for s in world.stubs))
             failed_server = next(s for s in world.stubs if s.commands and s.commands[-1][0] == b"SVC.SUBMIT")
-            failed_server.die()
+            failed_server.kill()
             assert str(await client.answer()) == "ERR failed"
             for n in range(30, 36):
                 assert await client.ask(*query(n, customer=n)) == b"value"
@@ -48,7 +48,7 @@
             await until(lambda: other_server.commands[-1][2] == b"%016x" % 40)
             world.process.send_signal(signal.SIGTERM)
             assert world.process.stderr
-            while b"shutting down" not in await soon(world.process.stderr.readline()):
+            while b"shutting down" not in await within_timeout(world.process.stderr.readline()):
                 pass
             late_client = await world.client()
             assert await late_client.ask(*query(41, customer=50)) == b"value"
@@ -58,7 +58,7 @@
             assert await client.answer() == b"value"
             with pytest.raises(EOFError):
                 await client.answer()
-            assert await soon(world.process.wait()) == 0
+            assert await within_timeout(world.process.wait()) == 0
 
     asyncio.run(scenario())
 
@@ -88,6 +88,6 @@
             for client in clients:
                 with pytest.raises(EOFError):
                     await client.answer()
-            assert await soon(world.process.wait()) == 0
+            assert await within_timeout(world.process.wait()) == 0
 
     asyncio.run(scenario())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -5,7 +5,19 @@
 import pathlib
 import signal
 
-from world import Discovery, Stub, World, hold, instance, list_update, query, saying, serve, soon, until
+from world import (
+    Discovery,
+    Stub,
+    World,
+    instance,
+    list_update,
+    query,
+    reply_when_released,
+    reply_with,
+    serve,
+    until,
+    within_timeout,
+)
 
 from aniseshed.interface import Counted, Outcome
 from hookport import config
@@ -15,7 +27,7 @@
     """Servers stay known until the new service sends its list, so that nothing in flight is dropped."""
 
     async def scenario() -> None:
-        async with World(hold) as world:
+        async with World(reply_when_released) as world:
             node, new_discovery = (await world.start()).node, await Discovery().start()
             assert node
             await until(lambda: world.discovery.watches)
@@ -48,7 +60,7 @@
 def test_calls_to_the_old_counter_end_once_and_later_calls_go_to_the_new_one() -> None:
     async def scenario() -> None:
         async with World(serve, count=never_answer) as world:
-            node, new_counter = (await world.start()).node, await Stub(saying(b"$1\r\n2\r\n")).start()
+            node, new_counter = (await world.start()).node, await Stub(reply_with(b"$1\r\n2\r\n")).start()
             assert node and node.counter
             events: list[Counted] = []
             node.feed = events.append  # type: ignore[assignment,method-assign]
@@ -64,7 +76,7 @@
             assert (events[1].outcome, events[1].total) == (Outcome.OK, 2.0)
             assert len(world.counter.commands) == 1 and len(new_counter.commands) == 1
             await until(lambda: world.counter.closed)  # the old connection must be closed
-            new_counter.die()
+            new_counter.kill()
 
     asyncio.run(scenario())
 
@@ -97,7 +109,9 @@
             for text in ("", "{}", json.dumps({**valid, "counter": "nowhere"})):
                 path.write_text(text)
                 process.send_signal(signal.SIGHUP)
-                while b"keeping the old configuration" not in (line := await soon(process.stderr.readline())):
+                while b"keeping the old configuration" not in (
+                    line := await within_timeout(process.stderr.readline())
+                ):
                     assert line, "the process ended on an invalid file"
             assert not new_discovery.requests
             path.write_text(json.dumps(valid))
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -10,13 +10,13 @@
     VALUE,
     Stub,
     World,
-    hold,
     instance,
     list_update,
-    never,
+    never_reply,
     query,
+    reply_when_released,
+    reply_with,
     reset,
-    saying,
     serve,
     submit,
     until,
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("noise", [b"GET / HTTP/1.1\r\n\r\n", b"*-7\r\n", b"*4000000000\r\n", b"$-9\r\n"])
 def test_input_that_is_not_resp_closes_the_connection_and_fails_pending_requests(noise: bytes) -> None:
     async def scenario() -> None:
-        async with World(hold) as world:
+        async with World(reply_when_released) as world:
             client = await (await world.start()).client()
             client.send(*query())
             await until(lambda: commands_sent(world))
@@ -127,7 +127,7 @@
 
 def test_replies_keep_the_order_of_the_commands() -> None:
     async def scenario() -> None:
-        async with World(hold, hold) as world:
+        async with World(reply_when_released, reply_when_released) as world:
             client = await (await world.start()).client()
             client.send(*query(1))
             client.send(b"PING")
@@ -181,14 +181,14 @@
 
     async def scenario() -> None:
         monkeypatch.setattr(servers, "REUSE_DELAY_S", -1.0)
-        async with World(hold) as world:
+        async with World(reply_when_released) as world:
             client = await (await world.start()).client()
             client.send(*submit(1))
             client.send(*submit(2))
             await until(lambda: len(commands_sent(world)) == 2)
             world.stubs[0].release.set()
             assert [await client.answer() for _ in range(2)] == [b"value"] * 2
-            world.stubs[0].handler = never
+            world.stubs[0].handler = never_reply
             assert str(await client.ask(*submit(3, wait_ms=200))) == "ERR failed"
             await until(lambda: world.stubs[0].closed == 2)
 
@@ -224,7 +224,7 @@
 def test_refused_connection_is_retried_on_another_server() -> None:
     async def scenario() -> None:
         async with World(serve, serve) as world:
-            world.stubs[0].die()
+            world.stubs[0].kill()
             client = await (await world.start()).client()
             for n in range(4):
                 assert await client.ask(*submit(n)) == b"value"
@@ -281,7 +281,7 @@
 )
 def test_invalid_answer_fails_the_attempt_and_closes_the_connection(text: bytes) -> None:
     async def scenario() -> None:
-        async with World(saying(text)) as world:
+        async with World(reply_with(text)) as world:
             client = await (await world.start()).client()
             assert str(await client.ask(*submit())) == "ERR failed"
             await until(lambda: world.stubs[0].closed == 1)
@@ -293,7 +293,7 @@
 
 def test_bytes_behind_an_answer_are_not_given_to_the_next_request() -> None:
     async def scenario() -> None:
-        async with World(saying(VALUE + VALUE.replace(b"value", b"other"))) as world:
+        async with World(reply_with(VALUE + VALUE.replace(b"value", b"other"))) as world:
             client = await (await world.start()).client()
             for n in range(3):
                 assert await client.ask(*submit(n)) == b"value"
@@ -304,11 +304,11 @@
 
 def test_busy_server_leads_to_another_server_or_to_a_busy_reply() -> None:
     async def scenario() -> None:
-        async with World(saying(b"-BUSY\r\n"), serve) as world:
+        async with World(reply_with(b"-BUSY\r\n"), serve) as world:
             client = await (await world.start()).client()
             for n in range(4):
                 assert await client.ask(*submit(n)) == b"value"
-        async with World(saying(b"-BUSY\r\n")) as world:
+        async with World(reply_with(b"-BUSY\r\n")) as world:
             client = await (await world.start()).client()
             assert str(await client.ask(*submit())).startswith("BUSY")
 
@@ -317,7 +317,7 @@
 
 def test_silent_server_fails_the_request_in_time_and_loses_its_connection() -> None:
     async def scenario() -> None:
-        async with World(never) as world:
+        async with World(never_reply) as world:
             client = await (await world.start()).client()
             assert str(await client.ask(*submit(wait_ms=300))) == "ERR failed"
             await until(lambda: world.stubs[0].closed == 1)
@@ -331,7 +331,7 @@
 
     async def scenario() -> None:
         monkeypatch.setattr(node, "KILL_AFTER_NS", 0)
-        async with World(never) as world:
+        async with World(never_reply) as world:
             client = await (await world.start()).client()
             client.send(*submit(wait_ms=6000))
             await until(lambda: commands_sent(world))
@@ -360,7 +360,7 @@
 
 def test_client_that_disconnects_releases_its_request() -> None:
     async def scenario() -> None:
-        async with World(hold) as world:
+        async with World(reply_when_released) as world:
             client = await (await world.start()).client()
             client.send(*submit())
             await until(lambda: commands_sent(world))
@@ -399,7 +399,7 @@
 
 def test_late_counter_answer_is_not_given_to_the_next_call() -> None:
     async def scenario() -> None:
-        stub = await Stub(never).start()
+        stub = await Stub(never_reply).start()
         ends: list[tuple[int, Outcome, float]] = []
         loop = asyncio.get_running_loop()
         calls = counter.Counter(
@@ -424,15 +424,15 @@
         await until(lambda: len(ends) == 3 and not calls.abandoned)
         assert ends.pop() == (1, Outcome.OK, 1.0)
         # "not added" and "may have been added" are different outcomes
-        stub.handler = saying(b"-BUSY\r\n")
+        stub.handler = reply_with(b"-BUSY\r\n")
         calls.call(3, 1.0, 10**9)
         await until(lambda: len(ends) == 3)
         for text in (b"$3\r\nabc\r\n", b"nonsense\r\n", b"$3\r\nnan\r\n", b"*1\r\n:1\r\n"):
-            stub.handler = saying(text)
+            stub.handler = reply_with(text)
             calls.call(4, 1.0, 10**9)
             await until(lambda: ends[-1][0] == 4)
             assert ends.pop()[1] is Outcome.TIMEOUT
-        stub.die()
+        stub.kill()
         await until(lambda: calls.connection is None)
         calls.call(5, 1.0, 10**9)
         await until(lambda: len(ends) == 4)
@@ -445,7 +445,7 @@
 def test_silent_connection_to_the_counter_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(counter, "MAX_STALL_S", 0.0)
-        stub = await Stub(never).start()
+        stub = await Stub(never_reply).start()
         ends: list[Outcome] = []
         loop = asyncio.get_running_loop()
         calls = counter.Counter(
@@ -453,14 +453,14 @@
         )
         calls.call(1, 1.0, 10**9)
         await until(lambda: stub.commands)
-        stub.handler = saying(b"$1\r\n7\r\n")
+        stub.handler = reply_with(b"$1\r\n7\r\n")
         calls.call(1, 1.0, 10**9)
         await until(lambda: ends)
         assert ends == [Outcome.OK] and len(calls.abandoned) == 1 and len(stub.writers) == 2
         calls.drop_abandoned(calls.abandoned[0])
         assert ends == [Outcome.OK, Outcome.TIMEOUT] and not calls.abandoned
         calls.close()
-        stub.die()
+        stub.kill()
 
     run(scenario)
 
@@ -553,7 +553,7 @@
 
 def test_client_that_does_not_read_its_replies_is_not_read() -> None:
     async def scenario() -> None:
-        async with World(saying(b"*3\r\n$60000\r\n" + b"v" * 60000 + b"\r\n$-1\r\n$-1\r\n")) as world:
+        async with World(reply_with(b"*3\r\n$60000\r\n" + b"v" * 60000 + b"\r\n$-1\r\n$-1\r\n")) as world:
             client = await (await world.start()).client()
             transport = client.writer.transport
             transport.pause_reading()  # type: ignore[attr-defined]
