--- a/benchmarks/evenings.py
+++ b/benchmarks/evenings.py
@@ -20,7 +20,7 @@
 
 
 def play(name: str, seed: int) -> tuple[int, dict[str, float], list[str]]:
-    judged, _ = whole.judged(plans.load(name), seed)
+    judged, _ = whole.play_and_judge(plans.load(name), seed)
     score = judged.score
     figures = {
         "score": score.score,
--- a/benchmarks/kept_list.py
+++ b/benchmarks/kept_list.py
@@ -19,7 +19,7 @@
 from collections.abc import Iterable
 from concurrent.futures import ProcessPoolExecutor, as_completed
 
-from hookport.emulator import AGES_S, MODES, Dawn, Morning, play
+from hookport.emulator import AGES_S, MODES, RestartResult, RestartScenario, simulate_restart
 
 NAMES = {
     1: "1 s",
@@ -31,17 +31,20 @@
     86_400: "1 day",
     604_800: "7 days",
 }
-Runs = dict[tuple[float, str], list[Dawn]]
+Runs = dict[tuple[float, str], list[RestartResult]]
 
 
 def run(seeds: int, load: float) -> Runs:
     """All mornings, with progress on standard error."""
     mornings = [
-        Morning(age, seed, mode, load=load) for age in AGES_S for mode in MODES for seed in range(seeds)
+        RestartScenario(age, seed, mode, load=load)
+        for age in AGES_S
+        for mode in MODES
+        for seed in range(seeds)
     ]
     runs: Runs = defaultdict(list)
     with ProcessPoolExecutor(os.cpu_count()) as pool:
-        waiting = {pool.submit(play, morning): morning for morning in mornings}
+        waiting = {pool.submit(simulate_restart, morning): morning for morning in mornings}
         for done, future in enumerate(as_completed(waiting), 1):
             morning = waiting[future]
             runs[morning.age_s, morning.mode].append(future.result())
@@ -50,7 +53,7 @@
     return runs
 
 
-def mean(dawns: Iterable[Dawn], field: str) -> float:
+def mean(dawns: Iterable[RestartResult], field: str) -> float:
     return statistics.fmean(getattr(dawn, field) for dawn in dawns)
 
 
@@ -85,10 +88,10 @@
 def write_csv(runs: Runs, path: str) -> None:
     with open(path, "w", newline="") as file:
         out = csv.writer(file)
-        out.writerow(["age_s", "mode", *Dawn.__slots__])
+        out.writerow(["age_s", "mode", *RestartResult.__slots__])
         for (age, mode), dawns in sorted(runs.items()):
             for dawn in dawns:
-                values = (getattr(dawn, name) for name in Dawn.__slots__)
+                values = (getattr(dawn, name) for name in RestartResult.__slots__)
                 out.writerow([age, mode, *("" if v == math.inf else v for v in values)])
 
 
--- a/hookport/emulator/__init__.py
+++ b/hookport/emulator/__init__.py
@@ -5,10 +5,11 @@
 """
 
 from hookport.emulator.clock import Clock
-from hookport.emulator.dawn import AGES_S, MODES, Dawn, Morning, play
-from hookport.emulator.seat import Answer, Seat
+from hookport.emulator.restart_scenario import AGES_S, MODES, RestartResult, RestartScenario, simulate_restart
 from hookport.emulator.servers import Behaviour, Model, Server
+from hookport.emulator.simulated_limiter import Answer, SimulatedLimiter
 
 __all__ = [
-    "AGES_S", "MODES", "Answer", "Behaviour", "Clock", "Dawn", "Model", "Morning", "Seat", "Server", "play",
+    "AGES_S", "MODES", "Answer", "Behaviour", "Clock", "RestartResult", "Model", "RestartScenario", "SimulatedLimiter",
+    "Server", "simulate_restart",
 ]  # fmt: skip
--- a/hookport/emulator/experiment_command.py
+++ b/hookport/emulator/experiment_command.py
@@ -22,9 +22,9 @@
 
 import msgspec
 
-from hookport.emulator import cell, experiment, renamed_constants
+from hookport.emulator import experiment, experiment_run, renamed_constants
 from hookport.emulator.experiment import Experiment, ExperimentError, Run
-from hookport.emulator.spread import interruptible, spread
+from hookport.emulator.parallel import interruptible, run_parallel
 from hookport.rehearsal import plan as plans
 
 PLAYED, BAD_INPUT, INTERRUPTED = 0, 2, 130
@@ -61,7 +61,7 @@
     other_names = {name: renamed_constants.other_names(name) for name in constants}
     work = {"plan": table, "seed": run.seed, "constants": constants, "other_names": other_names}
     with tempfile.NamedTemporaryFile(prefix="hookport-experiment-", suffix=".jsonl") as kept:
-        words = [sys.executable, cell.__file__, str(build)]
+        words = [sys.executable, experiment_run.__file__, str(build)]
         played = subprocess.run(
             words,
             input=msgspec.json.encode(work),
@@ -137,7 +137,7 @@
         if not path.stat().st_size:
             out.write(msgspec.json.encode(told) + b"\n")
         asked = ((told, run, codes) for run in todo)
-        for done, (_, run) in enumerate(spread(pool, play, asked, jobs, stopped.is_set), 1):
+        for done, (_, run) in enumerate(run_parallel(pool, play, asked, jobs, stopped.is_set), 1):
             runs.append(run)
             out.write(msgspec.json.encode(run) + b"\n")
             out.flush()
--- a/hookport/emulator/explore.py
+++ b/hookport/emulator/explore.py
@@ -24,7 +24,7 @@
 import msgspec
 
 from hookport.emulator import days, shrink, whole
-from hookport.emulator.spread import interruptible, spread
+from hookport.emulator.parallel import interruptible, run_parallel
 from hookport.rehearsal import judgement, mutants
 from hookport.rehearsal import plan as plans
 
@@ -52,7 +52,7 @@
     plan = plans.build(told, str(told.get("title", "day")))
     began_s = time.monotonic()
     try:
-        judged, _ = whole.judged(plan, seed)
+        judged, _ = whole.play_and_judge(plan, seed)
     except (whole.SpinError, whole.StallError, whole.WholeError) as error:
         # What two errors of one kind share is the kind and where it came from, not the numbers in the text.
         kind = str(error).split(":")[0] if isinstance(error, whole.WholeError) else type(error).__name__
@@ -126,7 +126,9 @@
     """Play days until they are over or ``stop``, asked with the seconds since the beginning, says so."""
     result, began_s, told_s = Explored(), time.monotonic(), 0.0
     log.info("days=%d jobs=%d", count, jobs)
-    for (table, seed), played in spread(pool, play, told, jobs, lambda: stop(time.monotonic() - began_s)):
+    for (table, seed), played in run_parallel(
+        pool, play, told, jobs, lambda: stop(time.monotonic() - began_s)
+    ):
         taken(result, seed, table, played)
         result.took_s = time.monotonic() - began_s
         if result.took_s - told_s >= TOLD_EACH_S:
--- a/hookport/emulator/spread.py
+++ b/hookport/emulator/parallel.py
@@ -24,7 +24,7 @@
         signal.signal(signal.SIGINT, before)
 
 
-def spread(
+def run_parallel(
     pool: Executor,
     call: Callable[..., T],
     items: Iterable[Item],
--- a/hookport/emulator/dawn.py
+++ b/hookport/emulator/restart_scenario.py
@@ -13,8 +13,8 @@
 
 from aniseshed.interface import Health, ListKind, Request, ServerEntry, ServerList
 from hookport.emulator.clock import MS, SECOND, Clock
-from hookport.emulator.seat import Answer, Seat, settings
 from hookport.emulator.servers import Behaviour, Model, Server
+from hookport.emulator.simulated_limiter import Answer, SimulatedLimiter, settings
 from hookport.membership.curve import TrustCurve
 from hookport.membership.fleet import Address, FleetView, Snapshot, SnapshotEntry
 
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Morning:
+class RestartScenario:
     """What is drawn: ``load`` is a part of the fleet's capacity, ``stays`` the chance that a replaced
     server's address is its successor's, ``crash_days`` the mean time between a server's own restarts,
     ``restarted`` the part of the servers that started again within a second before the limiters did,
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class Dawn:
+class RestartResult:
     """What came of it.  Shares are of requests asked in the first 10 and 30 s; ``first_s`` is the time to the
     first good answer, infinite if there was none.  ``drained`` counts attempts at servers that the list tells
     as draining, ``unproved`` claims that came to a server which had not answered that limiter yet, ``fell``
@@ -62,7 +62,9 @@
     fell: int
 
 
-def changed(chance: random.Random, told: Morning, clock: Clock, model: Model) -> tuple[Behaviour, int, bool]:
+def changed(
+    chance: random.Random, told: RestartScenario, clock: Clock, model: Model
+) -> tuple[Behaviour, int, bool]:
     """What lives at a server's address after ``age_s``, since when, and whether it is the same server
     still."""
     if chance.random() < min(1.0, told.age_s / DAY_S):
@@ -78,7 +80,7 @@
     return Behaviour.SERVES, clock.now_ns - round(since_s * SECOND) if since_s < told.age_s else 0, True
 
 
-def play(told: Morning) -> Dawn:
+def simulate_restart(told: RestartScenario) -> RestartResult:
     """One morning; the same for the same ``Morning``."""
     chance, clock, model = random.Random(told.seed), Clock(START_NS), Model()
     addresses: dict[Address, Server] = {}
@@ -107,8 +109,9 @@
     return morning(told, chance, clock, model, seats, addresses, {held[n].entry.server for n in draining})
 
 
-def seat(told: Morning, index: int, clock: Clock, model: Model, addresses: dict[Address, Server],
-         held: list[SnapshotEntry], truth: list[tuple[ServerEntry, Address]]) -> Seat:  # fmt: skip
+def seat(told: RestartScenario, index: int, clock: Clock, model: Model, addresses: dict[Address, Server],
+         held: list[SnapshotEntry],
+         truth: list[tuple[ServerEntry, Address]]) -> SimulatedLimiter:  # fmt: skip
     """A limiter that starts now."""
     fleet = (
         FleetView("dawn", index, told.limiters, TrustCurve(), round(FORGET_S * SECOND))
@@ -116,7 +119,7 @@
         else None
     )
     made = settings(index, told.limiters, model.cold_s, model.cold_from)
-    seat = Seat(clock, made, told.seed * 100 + index, addresses, fleet)
+    seat = SimulatedLimiter(clock, made, told.seed * 100 + index, addresses, fleet)
     if fleet:
         kept = Snapshot("dawn", 40, held[0].confirmed_ns, tuple(held), {})
         seat.out(fleet.start(clock.now_ns, kept, ServerList(ListKind.CACHED, ()), {}))
@@ -132,8 +135,9 @@
     return seat
 
 
-def morning(told: Morning, chance: random.Random, clock: Clock, model: Model, seats: list[Seat],
-            addresses: dict[Address, Server], draining: set[bytes]) -> Dawn:  # fmt: skip
+def morning(told: RestartScenario, chance: random.Random, clock: Clock, model: Model,
+            seats: list[SimulatedLimiter], addresses: dict[Address, Server],
+            draining: set[bytes]) -> RestartResult:  # fmt: skip
     """Ask from the first moment on, and count."""
     rate = told.load * told.servers * model.cores / model.work_s
     good = {10: 0, 30: 0}
@@ -164,7 +168,7 @@
 
     clock.after(0, ask)
     clock.run(START_NS + round((told.length_s + 5) * SECOND))
-    return Dawn(
+    return RestartResult(
         first_s=(min(first_ns) - START_NS) / SECOND if first_ns else float("inf"),
         share_10s=good[10] / max(1, asked[10]),
         share_30s=good[30] / max(1, asked[30]),
--- a/hookport/emulator/seat.py
+++ b/hookport/emulator/simulated_limiter.py
@@ -33,7 +33,7 @@
     attempts: int = 0
 
 
-class Seat:
+class SimulatedLimiter:
     """One limiter.  ``fleet`` is what it believes of the servers; None takes every list at its word."""
 
     def __init__(
--- a/hookport/emulator/whole.py
+++ b/hookport/emulator/whole.py
@@ -36,7 +36,8 @@
 from hookport.rehearsal.world import World
 
 __all__ = [
-    "Evening", "SpinError", "StallError", "WholeError", "digest", "encoded", "judged", "play", "virtual",
+    "Evening", "SpinError", "StallError", "WholeError", "digest", "encoded", "play_and_judge", "play",
+    "virtual",
 ]  # fmt: skip
 HOST = "127.0.0.1"
 UNIX_NS = 1_790_000_000 * 1_000_000_000  # of the evening's clock at its zero, and up to PHASE_S more
@@ -320,7 +321,7 @@
     return hashlib.sha256(encoded({}, rows)).hexdigest()[:16]
 
 
-def judged(
+def play_and_judge(
     plan: plans.Plan,
     seed: int,
     history: Path | None = None,
--- a/hookport/rehearsal/command.py
+++ b/hookport/rehearsal/command.py
@@ -278,7 +278,7 @@
         with show.Live(Console(stderr=True)) as live:
             progress = live.add("whole", plan.length_s)
             kept = Path(args.history) if args.history else None
-            judged, digest = depth.judged(plan, args.seed, kept, progress, live.refresh)
+            judged, digest = depth.play_and_judge(plan, args.seed, kept, progress, live.refresh)
     except (depth.WholeError, depth.SpinError, depth.StallError) as error:
         raise PlayError(f"{error}; again with: hookport rehearse {args.plan} --in whole --seed {args.seed}"
                         + (f" --length {args.length:g}" if args.length else "")) from error  # fmt: skip
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -19,7 +19,7 @@
 import pytest
 from helpers import TINY
 
-from hookport.emulator import cell, experiment, experiment_command, renamed_constants
+from hookport.emulator import experiment, experiment_command, experiment_run, renamed_constants
 from hookport.emulator import experiment_page as page
 from hookport.emulator.experiment import Experiment, ExperimentError, Factor, Run
 from hookport.emulator.renamed_constants import RENAMED_CONSTANTS
@@ -187,14 +187,14 @@
     code = (
         "import sys; sys.path.insert(0, sys.argv[1])\n"
         "from aniseshed import partition, policy\n"
-        "from hookport.emulator import cell\n"
-        "cell.set_constant('aniseshed.partition.BEAT_NS', 77)\n"
+        "from hookport.emulator import experiment_run\n"
+        "experiment_run.set_constant('aniseshed.partition.BEAT_NS', 77)\n"
         "print(policy.BEAT_NS, partition.BEAT_NS)\n"
     )
     words = [sys.executable, "-c", code, str(experiment.ROOT)]
     assert subprocess.run(words, capture_output=True, text=True, check=True).stdout == "77 77\n"
-    with pytest.raises(cell.CellError, match="no such constant"):
-        cell.set_constant("aniseshed.partition.NOTHING", 1)
+    with pytest.raises(experiment_run.CellError, match="no such constant"):
+        experiment_run.set_constant("aniseshed.partition.NOTHING", 1)
 
 
 FORMER, PRESENT = "aniseshed.policy.HOLD_AIM", "aniseshed.policy.MAX_QUOTA_WAIT_SHARE"
@@ -229,14 +229,14 @@
     code = (
         "import sys; sys.path.insert(0, sys.argv[1])\n"
         "from aniseshed import policy\n"
-        "from hookport.emulator import cell\n"
-        f"cell.set_constant('{FORMER}', 77, ['{PRESENT}'])\n"
+        "from hookport.emulator import experiment_run\n"
+        f"experiment_run.set_constant('{FORMER}', 77, ['{PRESENT}'])\n"
         "print(policy.MAX_QUOTA_WAIT_SHARE, hasattr(policy, 'HOLD_AIM'))\n"
     )
     command = [sys.executable, "-c", code, str(experiment.ROOT)]
     assert subprocess.run(command, capture_output=True, text=True, check=True).stdout == "77 False\n"
-    with pytest.raises(cell.CellError, match="policy.NO: this build has no such constant"):
-        cell.set_constant("aniseshed.policy.NO", 1, ["aniseshed.no_module.NO"])
+    with pytest.raises(experiment_run.CellError, match="policy.NO: this build has no such constant"):
+        experiment_run.set_constant("aniseshed.policy.NO", 1, ["aniseshed.no_module.NO"])
 
 
 @pytest.mark.parametrize("name", [FORMER, PRESENT])
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -14,7 +14,7 @@
 import pytest
 
 from hookport.emulator import days, explore, shrink
-from hookport.emulator.spread import spread
+from hookport.emulator.parallel import run_parallel
 from hookport.rehearsal import plan as plans
 
 CORPUS = sorted((Path(__file__).parent / "corpus").glob("*.toml"))
@@ -154,7 +154,7 @@
         return n * n
 
     with ThreadPoolExecutor(2) as pool:
-        told = list(spread(pool, call, ((n,) for n in range(99)), 2, lambda: len(begun) >= 5))
+        told = list(run_parallel(pool, call, ((n,) for n in range(99)), 2, lambda: len(begun) >= 5))
     assert 5 <= len(begun) <= 7 and sorted(told) == [((n,), n * n) for n in sorted(begun)]
 
 
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -225,7 +225,7 @@
 @pytest.mark.parametrize("name", ["gauntlet", "roll"])
 def test_the_daemon_keeps_every_rule(name: str) -> None:
     plan = plans.load(name) if name == "gauntlet" else plans.scaled(plans.load(name), 20.0)
-    judged, _ = whole.judged(plan, 1)
+    judged, _ = whole.play_and_judge(plan, 1)
     assert judged.verdict == "kept", [b.text for b in judged.breaches[:5]] or judged.void
     assert judged.score.outcomes["served"] > 100
 
@@ -308,5 +308,5 @@
     shown: list[float] = []
     progress = Progress()
     plan = plans.scaled(plans.load("calm"), 3.0)
-    whole.judged(plan, 1, None, progress, lambda: shown.append(progress.passed_s))
+    whole.play_and_judge(plan, 1, None, progress, lambda: shown.append(progress.passed_s))
     assert len(shown) > 20 and shown == sorted(shown) and progress.asked > 50
