--- a/benchmarks/kept_list.py
+++ b/benchmarks/kept_list.py
@@ -20,7 +20,7 @@
 from collections.abc import Iterable
 from concurrent.futures import ProcessPoolExecutor, as_completed
 
-from hookport.emulator import AGES_S, MODES, Dawn, Morning, play
+from hookport.emulator import AGES_S, MODES, RestartResult, RestartScenario, simulate_restart
 
 AGE_LABELS = {
     1: "1 s",
@@ -32,17 +32,20 @@
     86_400: "1 day",
     604_800: "7 days",
 }
-Runs = dict[tuple[float, str], list[Dawn]]
+Runs = dict[tuple[float, str], list[RestartResult]]
 
 
 def run(seeds: int, load: float) -> Runs:
     """Run every age, mode and seed, and report progress on standard error."""
     scenarios = [
-        Morning(age, seed, mode, load=load) for age in AGES_S for mode in MODES for seed in range(seeds)
+        RestartScenario(age, seed, mode, load=load)
+        for age in AGES_S
+        for mode in MODES
+        for seed in range(seeds)
     ]
     runs: Runs = defaultdict(list)
     with ProcessPoolExecutor(os.cpu_count()) as pool:
-        pending = {pool.submit(play, scenario): scenario for scenario in scenarios}
+        pending = {pool.submit(simulate_restart, scenario): scenario for scenario in scenarios}
         for done, future in enumerate(as_completed(pending), 1):
             scenario = pending[future]
             runs[scenario.age_s, scenario.mode].append(future.result())
@@ -51,7 +54,7 @@
     return runs
 
 
-def mean(results: Iterable[Dawn], field: str) -> float:
+def mean(results: Iterable[RestartResult], field: str) -> float:
     return statistics.fmean(getattr(result, field) for result in results)
 
 
@@ -88,10 +91,10 @@
 def write_csv(runs: Runs, path: str) -> None:
     with open(path, "w", newline="") as file:
         writer = csv.writer(file)
-        writer.writerow(["age_s", "mode", *Dawn.__slots__])
+        writer.writerow(["age_s", "mode", *RestartResult.__slots__])
         for (age, mode), results in sorted(runs.items()):
             for result in results:
-                values = (getattr(result, name) for name in Dawn.__slots__)
+                values = (getattr(result, name) for name in RestartResult.__slots__)
                 writer.writerow([age, mode, *("" if v == math.inf else v for v in values)])
 
 
--- a/hookport/rehearsal/command.py
+++ b/hookport/rehearsal/command.py
@@ -302,7 +302,7 @@
         with show.ProgressDisplay(Console(stderr=True)) as display:
             progress = display.add("whole", plan.length_s)
             history_file = Path(args.history) if args.history else None
-            judged, digest = emulator.judged(plan, args.seed, history_file, progress, display.refresh)
+            judged, digest = emulator.play_and_judge(plan, args.seed, history_file, progress, display.refresh)
     except (emulator.WholeError, emulator.SpinError, emulator.StallError) as error:
         raise PlayError(f"{error}; to repeat: hookport rehearse {args.plan} --in whole --seed {args.seed}"
                         + (f" --length {args.length:g}" if args.length else "")) from error  # fmt: skip
