--- a/hookport/emulator/__init__.py
+++ b/hookport/emulator/__init__.py
@@ -10,6 +10,6 @@
 from hookport.emulator.simulated_limiter import Answer, SimulatedLimiter
 
 __all__ = [
-    "AGES_S", "MODES", "Answer", "Behaviour", "Clock", "RestartResult", "Model", "RestartScenario", "SimulatedLimiter",
-    "Server", "simulate_restart",
+    "AGES_S", "MODES", "Answer", "Behaviour", "Clock", "RestartResult", "Model", "RestartScenario",
+    "SimulatedLimiter", "Server", "simulate_restart",
 ]  # fmt: skip
