--- a/benchmarks/kit_rate.py
+++ b/benchmarks/kit_rate.py
@@ -33,9 +33,9 @@
 def plan_of(rate: int, servers: bool) -> plans.Plan:
     customers = 100
     if servers:
-        search = plans.Class(name="search", aim_ms=750, deadline_ms=3000, work_ms=2)
-        fleet = plans.Fleet(servers=20, cores=8, connections=10_000)
-        limits = plans.Limiters(count=6, sockets=4096)
+        search = plans.RequestClass(name="search", aim_ms=750, deadline_ms=3000, work_ms=2)
+        fleet = plans.FleetSettings(servers=20, cores=8, connections=10_000)
+        limits = plans.LimiterSettings(count=6, sockets=4096)
         quota = plans.Quota(name="any", rate=rate / customers * 10, burst=rate)
         desk = plans.Desk(
             name="all", plan="any", customers=customers, usage=0.1, units=(1, 1), spread=6, claims=0
--- a/hookport/emulator/days.py
+++ b/hookport/emulator/days.py
@@ -41,7 +41,7 @@
         return float(draw.uniform(self.seed, "day", *self.names, *names))
 
     def between(self, low: float, high: float, *names: object) -> float:
-        return round(draw.between(low, high, self.seed, "day", *self.names, *names), 3)
+        return round(draw.uniform_between(low, high, self.seed, "day", *self.names, *names), 3)
 
     def whole(self, low: int, high: int, *names: object) -> int:
         return low + int((high - low + 1) * self.part(*names))
@@ -50,10 +50,10 @@
         return choices[int(len(choices) * self.part(*names))]
 
 
-def demand_ms(desk: Table, quota: plans.Quota, classes: Sequence[plans.Class]) -> float:
+def demand_ms(desk: Table, quota: plans.Quota, classes: Sequence[plans.RequestClass]) -> float:
     """Work in core milliseconds a second that one customer of the desk asks for, inside its quota."""
     units = sum(desk["units"]) / 2
-    usage = min(1.0, plans.MOOD_USAGE[desk["mood"]])
+    usage = min(1.0, plans.USAGE_BY_MOOD[desk["mood"]])
     safe, claim = classes[0], classes[1]
     work_ms = desk["claims"] * claim.work_ms + (1 - desk["claims"]) * safe.work_ms
     return float(usage * quota.rate / units * work_ms * math.sqrt(units))
--- a/hookport/emulator/experiment.py
+++ b/hookport/emulator/experiment.py
@@ -93,7 +93,7 @@
     except OSError as error:
         raise ExperimentError(f"{path}: cannot be read: {error.strerror}") from error
     except msgspec.ValidationError as error:
-        raise ExperimentError(f"{path}: {plans.explain(str(error))}") from error
+        raise ExperimentError(f"{path}: {plans.format_validation_error(str(error))}") from error
     except (msgspec.DecodeError, ValueError) as error:
         raise ExperimentError(f"{path}: not TOML: {error}") from error
     for place, why in problems(told):
--- a/hookport/emulator/explore.py
+++ b/hookport/emulator/explore.py
@@ -82,7 +82,7 @@
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is the parent's: it lets days in play end
     logging.getLogger("hookport").setLevel(logging.CRITICAL)
     if name:
-        mutants.MUTANTS[name].harm()
+        mutants.MUTANTS[name].apply()
 
 
 @dataclass(slots=True)
--- a/hookport/emulator/whole.py
+++ b/hookport/emulator/whole.py
@@ -31,8 +31,15 @@
 from hookport.rehearsal import plan as plans
 from hookport.rehearsal.desks import Desks
 from hookport.rehearsal.history import FORMAT_VERSION, Row, rebase
-from hookport.rehearsal.loops import Place
-from hookport.rehearsal.play import AFTER_S, LEAD_S, NO_LIST, PLANNED_S, Progress, end_within_s
+from hookport.rehearsal.play import (
+    EMPTY_SERVER_LIST,
+    END_MARGIN_S,
+    PLANNED_STOP_NOTICE_S,
+    START_DELAY_S,
+    Progress,
+    shutdown_timeout_s,
+)
+from hookport.rehearsal.runtime import Environment
 from hookport.rehearsal.world import World
 
 __all__ = [
@@ -95,7 +102,7 @@
         self.digest = ""
 
     def note(self, what: str, seat: Seat, **more: Any) -> None:
-        self.recorder.record({"t": Place.clock_ns(), "e": "limiter", "l": seat.number, "what": what,
+        self.recorder.record({"t": Environment.clock_ns(), "e": "limiter", "l": seat.number, "what": what,
                             "p": seat.count, **more})  # fmt: skip
 
     async def play(self) -> list[Row]:
@@ -105,13 +112,13 @@
         self.world = World(plan, self.seed, self.recorder, self.told)  # type: ignore[arg-type]
         places = await self.world.start(ports, words)
         for number, port in enumerate(ports):
-            told = plans.configuration(plan, self.seed, number, HOST, port, places)
+            told = plans.limiter_config(plan, self.seed, number, HOST, port, places)
             self.seats.append(Seat(number, told))
         for seat in self.seats:
             await self.launch(seat)
         self.desks = Desks(plan, self.seed, self.recorder, places["fronts"])  # type: ignore[arg-type]
         self.digest = draw.digest(self.desks.arrivals)
-        self.start_ns = Place.clock_ns() + round(LEAD_S * 1e9)
+        self.start_ns = Environment.clock_ns() + round(START_DELAY_S * 1e9)
         self.world.schedule_faults(self.start_ns)
         self.desks.start(self.start_ns)
         await self.last()
@@ -121,15 +128,15 @@
     async def last(self) -> None:
         """Until all is answered or overdue."""
         plan = self.plan
-        ends_ns = self.start_ns + round((plan.length_s + plan.longest_s + AFTER_S) * 1e9)
-        earliest_ns = self.start_ns + round((plan.length_s + AFTER_S) * 1e9)
-        while (now_ns := Place.clock_ns()) < ends_ns:
+        ends_ns = self.start_ns + round((plan.length_s + plan.max_deadline_s + END_MARGIN_S) * 1e9)
+        earliest_ns = self.start_ns + round((plan.length_s + END_MARGIN_S) * 1e9)
+        while (now_ns := Environment.clock_ns()) < ends_ns:
             desks = self.desks
             if now_ns > earliest_ns and not desks.open_due_ns and desks.next_arrival == len(desks.arrivals):
                 return
             progress = self.progress
-            progress.stage, progress.passed_s = "playing", max(0.0, (now_ns - self.start_ns) / 1e9)
-            progress.asked, progress.served, progress.refused = desks.asked, desks.served, desks.refused
+            progress.stage, progress.elapsed_s = "playing", max(0.0, (now_ns - self.start_ns) / 1e9)
+            progress.requests, progress.served, progress.refused = desks.asked, desks.served, desks.refused
             self.show()
             if self.failures:
                 raise WholeError(self.failures[0])
@@ -164,7 +171,7 @@
         context = contextvars.copy_context()
         context.run(LIFE.set, seat.life)
         node = seat.node = context.run(
-            Node, config, self.loop, Place.clock_ns, Place.unix_ns, self.network.unread
+            Node, config, self.loop, Environment.clock_ns, Environment.unix_ns, self.network.unread
         )
         started = asyncio.Event()
         self.loop.create_task(self.serve(seat, node, started), context=context).add_done_callback(self.over)
@@ -206,7 +213,7 @@
         if event["ev"] == "limiter":
             self.spawn(self.signal(self.seats[event["l"]], event))
         elif event["ev"] == "fault":
-            self.progress.note = event["text"]
+            self.progress.last_event = event["text"]
         elif event["ev"] == "failed":
             self.failures.append(event["why"])
 
@@ -222,8 +229,10 @@
             return
         if what == "STOP":
             self.note("stop", seat)
-            until_ns = Place.clock_ns() + round((told["back_s"] + 1) * 1e9)
-            self.recorder.record({"t": Place.clock_ns(), "e": "excuse", "l": seat.number, "until": until_ns})
+            until_ns = Environment.clock_ns() + round((told["back_s"] + 1) * 1e9)
+            self.recorder.record(
+                {"t": Environment.clock_ns(), "e": "excuse", "l": seat.number, "until": until_ns}
+            )
             life.stopped_until_s = self.loop.time() + told["back_s"]
             await asyncio.sleep(told["back_s"])
             self.note("cont", seat)
@@ -231,7 +240,7 @@
         seat.stopping = True
         if what == "TERM":
             self.note("term", seat)
-            await self.end_in_time(seat, PLANNED_S)
+            await self.end_in_time(seat, PLANNED_STOP_NOTICE_S)
         else:
             self.note("kill", seat)
             self.network.kill(life)
@@ -239,7 +248,7 @@
         await asyncio.sleep(told["back_s"])
         agent = self.world.agents[seat.number]
         empty = self.plan.limiters.known == "none"
-        seat.told["known"] = NO_LIST if empty else agent.known_list(notified=True)
+        seat.told["known"] = EMPTY_SERVER_LIST if empty else agent.known_list(notified=True)
         await self.launch(seat)
         self.desks.set_limiter_state(seat.number, True, seat.count, True)
 
@@ -248,7 +257,7 @@
         self.within(seat, seat.node.shut_down)
         self.loop.call_later(planned_s, self.desks.set_limiter_state, seat.number, False, seat.count, True)
         try:
-            async with asyncio.timeout(end_within_s(self.plan)):
+            async with asyncio.timeout(shutdown_timeout_s(self.plan)):
                 await seat.done.wait()
             self.note("exit", seat, code=0)
             seat.life.dead = True
@@ -264,12 +273,12 @@
 @contextmanager
 def virtual(seed: int) -> Iterator[VirtualLoop]:
     """A loop with a network, and the kit's clocks and ports set to them for as long as it lasts."""
-    before = Place.host, Place.clock_ns, Place.unix_ns, Place.port
+    before = Environment.host, Environment.clock_ns, Environment.unix_ns, Environment.allocate_port
     loop = VirtualLoop()
     loop.network = Network(loop, seed)
-    Place.host, Place.port = HOST, loop.network.port
-    phase_ns = round(draw.between(0.0, PHASE_S, seed, "phase") * 1e9)
-    Place.clock_ns, Place.unix_ns = loop.now_ns, functools.partial(unix_ns, loop, phase_ns)
+    Environment.host, Environment.allocate_port = HOST, loop.network.port
+    phase_ns = round(draw.uniform_between(0.0, PHASE_S, seed, "phase") * 1e9)
+    Environment.clock_ns, Environment.unix_ns = loop.now_ns, functools.partial(unix_ns, loop, phase_ns)
     logger = logging.getLogger("hookport")
     silent = logging.NullHandler()
     logger.addHandler(silent)
@@ -277,7 +286,7 @@
         yield loop
     finally:
         logger.removeHandler(silent)
-        Place.host, Place.clock_ns, Place.unix_ns, Place.port = before
+        Environment.host, Environment.clock_ns, Environment.unix_ns, Environment.allocate_port = before
         asyncio.set_event_loop(None)
         loop.close()
 
--- a/hookport/rehearsal/command.py
+++ b/hookport/rehearsal/command.py
@@ -136,7 +136,7 @@
     reaper = Reaper()
     await reaper.start()
     with tempfile.TemporaryDirectory(prefix="hookport-rehearsal-") as folder:
-        reaper.tell("dir", folder)
+        reaper.send("dir", folder)
         try:
             yield Path(folder)
         finally:
@@ -239,7 +239,7 @@
     """Compare two plans, or two limiters, on the same seeds."""
     console = Console()
     other_plan, other_command = plan, tuple(command)
-    if args.against in plans.names() or args.against.endswith(".toml"):
+    if args.against in plans.bundled_names() or args.against.endswith(".toml"):
         other_plan = load_plan(args.against, args.length)
     else:
         other_command = limiter_command(args.against)
@@ -335,12 +335,12 @@
     try:
         check_writable(args.json, args.html, args.history)
         if args.list:
-            for name in plans.names():
+            for name in plans.bundled_names():
                 plan = plans.load(name)
                 print(f"{name:<9} {plan.length_s:4.0f} s  {plan.title}")
             return RULES_KEPT
         if not args.plan:
-            raise plans.PlanError(f"name a plan: {', '.join(plans.names())}, or a TOML file (--list)")
+            raise plans.PlanError(f"name a plan: {', '.join(plans.bundled_names())}, or a TOML file (--list)")
         if args.plan == "judge":
             return judge(args)
         if args.plan == "mutants":
--- a/hookport/rehearsal/desks.py
+++ b/hookport/rehearsal/desks.py
@@ -17,7 +17,7 @@
 from hookport.rehearsal import draw
 from hookport.rehearsal import plan as plans
 from hookport.rehearsal.history import Recorder
-from hookport.rehearsal.loops import Lag, Orders, Place, work
+from hookport.rehearsal.runtime import Environment, LagMonitor, WorkerPipe, run_worker
 
 CLOSE_RACE_S = 0.1  # if a connection closes this soon after a request, the request may not have been read
 MALFORMED_REPLY_TIMEOUT_S = 3.0  # a malformed request must get an error or a close within this time
@@ -109,17 +109,17 @@
     def start(self, start_ns: int) -> None:
         self.start_ns = start_ns
         # The start time on the loop's clock.
-        self.start_s = (start_ns - Place.clock_ns()) / 1e9 + self.loop.time()
+        self.start_s = (start_ns - Environment.clock_ns()) / 1e9 + self.loop.time()
         self.start_due_requests()
         for fault in self.plan.fault:
-            if isinstance(fault, plans.Rude):
+            if isinstance(fault, plans.BadClientsFault):
                 at_s = self.start_s + (fault.at_s or 0.0)
                 for n in range(int(fault.for_s * fault.each_s)):
                     self.loop.call_at(at_s + n / fault.each_s, self.start_malformed_request, n)
 
     def start_due_requests(self) -> None:
         """Start all requests that are due and set a timer for the next one."""
-        now_ns = Place.clock_ns() - self.start_ns
+        now_ns = Environment.clock_ns() - self.start_ns
         while self.next_arrival < len(self.arrivals) and not self.stopped:
             arrival = self.arrivals[self.next_arrival]
             if arrival.at_ns > now_ns:
@@ -129,7 +129,8 @@
             self.open_due_ns[arrival.number] = self.start_ns + arrival.at_ns
             self.asked += 1
             self.write_row({"e": "due", "t": self.start_ns + arrival.at_ns, "n": arrival.number,
-                            "c": arrival.kind, "q": arrival.quota, "u": arrival.units, "cu": arrival.customer,
+                            "c": arrival.class_index, "q": arrival.quota_index, "u": arrival.units,
+                            "cu": arrival.customer,
                             "late": round((now_ns - arrival.at_ns) / 1e6, 2)})  # fmt: skip
             self.start_attempt(arrival, 0)
 
@@ -143,8 +144,8 @@
         return candidates[int(draw.uniform(self.seed, "front", arrival.number, number) * len(candidates))]
 
     def start_attempt(self, arrival: draw.Arrival, number: int) -> None:
-        traffic_class = self.plan.classes[arrival.kind]
-        elapsed_ms = (Place.clock_ns() - self.open_due_ns[arrival.number]) / 1e6
+        traffic_class = self.plan.classes[arrival.class_index]
+        elapsed_ms = (Environment.clock_ns() - self.open_due_ns[arrival.number]) / 1e6
         remaining_ms = traffic_class.deadline_ms - elapsed_ms
         wait_ms = int(min(remaining_ms, self.plan.clients.try_share * traffic_class.deadline_ms))
         if wait_ms < 2 or self.stopped:
@@ -158,10 +159,11 @@
 
     def encode(self, attempt: Attempt) -> bytes:
         arrival = attempt.arrival
-        unsafe = self.plan.classes[arrival.kind].repeat != "safe"
+        unsafe = self.plan.classes[arrival.class_index].repeat != "safe"
         fields = b"c=%s,t=%s,d=%d,units=%d,spread=%d,first=%d%s" % (
-            self.class_names[arrival.kind], self.quota_names[arrival.quota], attempt.wait_ms, arrival.units,
-            arrival.spread, arrival.first, b",r=1" if attempt.number and self.plan.clients.marks else b"",
+            self.class_names[arrival.class_index], self.quota_names[arrival.quota_index], attempt.wait_ms,
+            arrival.units, arrival.spread, arrival.first,
+            b",r=1" if attempt.number and self.plan.clients.marks else b"",
         )  # fmt: skip
         command = b"SVC.SUBMIT" if unsafe else b"SVC.QUERY"
         arguments = (
@@ -193,7 +195,9 @@
         connection = ClientConnection(self, attempt.limiter)
         try:
             async with asyncio.timeout(attempt.wait_ms / 1000):
-                await self.loop.create_connection(lambda: connection, Place.host, self.ports[attempt.limiter])
+                await self.loop.create_connection(
+                    lambda: connection, Environment.host, self.ports[attempt.limiter]
+                )
         except (OSError, TimeoutError):
             if attempt.resent:  # the first connection closed unread and a new one cannot be opened
                 return self.finish_attempt(attempt, "closed")
@@ -221,9 +225,9 @@
         if not last:
             return
         attempt.sent_s = self.loop.time()
-        self.write_row({"e": "ask", "t": Place.clock_ns(), "id": attempt.id, "n": attempt.arrival.number,
-                        "k": attempt.number, "l": attempt.limiter, "p": connection.incarnation,
-                        "d": attempt.wait_ms})  # fmt: skip
+        self.write_row({"e": "ask", "t": Environment.clock_ns(), "id": attempt.id,
+                        "n": attempt.arrival.number, "k": attempt.number, "l": attempt.limiter,
+                        "p": connection.incarnation, "d": attempt.wait_ms})  # fmt: skip
         wait_s = (attempt.wait_ms + self.plan.judge.grace_ms + 10) / 1000
         if attempt.timer:
             attempt.timer.cancel()
@@ -278,7 +282,7 @@
 
     def record_unexpected_reply(self, connection: ClientConnection) -> None:
         if not connection.transport.is_closing():
-            self.write_row({"e": "extra", "t": Place.clock_ns(), "l": connection.limiter})
+            self.write_row({"e": "extra", "t": Environment.clock_ns(), "l": connection.limiter})
             connection.transport.abort()
 
     def finish_attempt(
@@ -291,7 +295,7 @@
         if attempt.timer:
             attempt.timer.cancel()
         arrival, clients = attempt.arrival, self.plan.clients
-        row: dict[str, Any] = {"e": "ans", "t": Place.clock_ns(), "id": attempt.id, "n": arrival.number,
+        row: dict[str, Any] = {"e": "ans", "t": Environment.clock_ns(), "id": attempt.id, "n": arrival.number,
                                "k": attempt.number, "how": outcome}  # fmt: skip
         if value:
             row["v"] = value
@@ -300,7 +304,7 @@
         self.write_row(row)
         self.served += outcome == "value"
         self.refused += outcome == "busy"
-        may_retry = outcome in ("busy", "unsent") or self.plan.classes[arrival.kind].repeat == "safe"
+        may_retry = outcome in ("busy", "unsent") or self.plan.classes[arrival.class_index].repeat == "safe"
         if outcome == "value" or not may_retry or attempt.number >= clients.retries:
             self.open_due_ns.pop(arrival.number, None)
             return
@@ -322,7 +326,11 @@
             self.believed_up[number] = True
             return
         low, high = self.plan.clients.notice_s
-        notice_s = 0.0 if planned else draw.between(low, high, self.seed, "front-notice", number, incarnation)
+        notice_s = (
+            0.0
+            if planned
+            else draw.uniform_between(low, high, self.seed, "front-notice", number, incarnation)
+        )
 
         def notice() -> None:
             if self.incarnations[number] == incarnation:
@@ -342,7 +350,7 @@
         limiter = number % len(self.ports)
         text = MALFORMED_REQUESTS[number % len(MALFORMED_REQUESTS)]
         try:
-            reader, writer = await asyncio.open_connection(Place.host, self.ports[limiter])
+            reader, writer = await asyncio.open_connection(Environment.host, self.ports[limiter])
         except OSError:
             return  # the limiter is down, so no reply is due
         served, ok = False, False
@@ -358,7 +366,7 @@
             ok = True  # a reset counts as a close
         finally:
             writer.transport.abort()
-        self.write_row({"e": "rude", "t": Place.clock_ns(), "l": limiter, "ok": ok, "served": served})
+        self.write_row({"e": "rude", "t": Environment.clock_ns(), "l": limiter, "ok": ok, "served": served})
 
     def stop(self) -> None:
         self.stopped = True
@@ -371,22 +379,22 @@
 
     desks: Desks
     recorder: Recorder
-    lag: Lag
+    lag: LagMonitor
     progress_task: asyncio.Task[None]
 
-    async def take(self, orders: Orders, order: dict[str, Any]) -> bool:
+    async def take(self, orders: WorkerPipe, order: dict[str, Any]) -> bool:
         if order["op"] == "start":
-            Place.host = order["host"]
+            Environment.host = order["host"]
             plan = msgspec.convert(order["plan"], plans.Plan)
             self.recorder = Recorder(order["part"])
             self.desks = Desks(plan, order["seed"], self.recorder, order["ports"])
-            self.lag = Lag(self.desks.loop, "desks", self.desks.write_row)
+            self.lag = LagMonitor(self.desks.loop, "desks", self.desks.write_row)
             arrivals = self.desks.arrivals
-            orders.tell(ev="ready", requests=len(arrivals), digest=draw.digest(arrivals))
+            orders.send_event(ev="ready", requests=len(arrivals), digest=draw.digest(arrivals))
         elif order["op"] == "go":
             self.desks.start(order["start_ns"])
             self.progress_task = asyncio.get_running_loop().create_task(
-                report_progress(self.desks, orders.tell)
+                report_progress(self.desks, orders.send_event)
             )
         elif order["op"] == "limiter":
             self.desks.set_limiter_state(order["l"], order["up"], order["p"], order["planned"])
@@ -396,7 +404,7 @@
             self.desks.stop()
             await asyncio.sleep(0.05)
             self.recorder.close()
-            orders.tell(ev="ended")
+            orders.send_event(ev="ended")
             return False
         return True
 
@@ -410,4 +418,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(work("desks", DesksWorker().take))
+    sys.exit(run_worker("desks", DesksWorker().take))
--- a/hookport/rehearsal/draw.py
+++ b/hookport/rehearsal/draw.py
@@ -15,12 +15,13 @@
 
 from hookport.rehearsal import plan as plans
 
-SECOND = 1_000_000_000
-WORD = 1 << 64
-ODD = 0x9E3779B97F4A7C15  # an odd number permutes the words: ids are told apart and can be read back
-ODD_INVERSE = pow(ODD, -1, WORD)
-SEED_STEP = 0x632BE59BD9B4E019
-MOST_REQUESTS = 1 << 28
+SECOND_NS = 1_000_000_000
+ID_RANGE = 1 << 64
+# Multiplying by an odd number permutes the 64-bit integers, so that ids are distinct and can be decoded.
+ID_MULTIPLIER = 0x9E3779B97F4A7C15
+ID_INVERSE = pow(ID_MULTIPLIER, -1, ID_RANGE)
+SEED_MULTIPLIER = 0x632BE59BD9B4E019
+MAX_REQUESTS = 1 << 28
 
 
 def uniform(seed: int, *names: object) -> float:
@@ -29,7 +30,7 @@
     return int.from_bytes(hashlib.blake2b(text, digest_size=7).digest()) / (1 << 56)
 
 
-def between(low: float, high: float, seed: int, *names: object) -> float:
+def uniform_between(low: float, high: float, seed: int, *names: object) -> float:
     return low + (high - low) * uniform(seed, *names)
 
 
@@ -49,8 +50,8 @@
     number: int  # from 0, in order of time
     at_ns: int  # since the start of the evening
     customer: int
-    quota: int  # position in the plan's plans
-    kind: int  # position in its classes
+    quota_index: int  # position in the plan's plans
+    class_index: int  # position in its classes
     units: int
     spread: int
     first: int
@@ -58,17 +59,17 @@
 
 def request_id(seed: int, number: int, attempt: int) -> str:
     """The id of a client's try: 16 hex digits that look like chance, new with each try."""
-    return f"{((number << 8 | attempt) + seed * SEED_STEP) * ODD % WORD:016x}"
+    return f"{((number << 8 | attempt) + seed * SEED_MULTIPLIER) * ID_MULTIPLIER % ID_RANGE:016x}"
 
 
-def request_of(seed: int, id: str) -> tuple[int, int] | None:
+def decode_request_id(seed: int, id: str) -> tuple[int, int] | None:
     """The number of the request and of the try that have this id, or None if it is no id of this seed."""
     try:
-        mixed = int(id, 16) * ODD_INVERSE % WORD - seed * SEED_STEP
+        mixed = int(id, 16) * ID_INVERSE % ID_RANGE - seed * SEED_MULTIPLIER
     except ValueError:
         return None
-    number, attempt = divmod(mixed % WORD, 256)
-    return (number, attempt) if number < MOST_REQUESTS else None
+    number, attempt = divmod(mixed % ID_RANGE, 256)
+    return (number, attempt) if number < MAX_REQUESTS else None
 
 
 def work_ms(plan: plans.Plan, seed: int, kind: int, units: int, number: int) -> float:
@@ -99,7 +100,7 @@
     quota = next(q for q in plan.plans if q.name == desk.plan)
     chance = random.Random(f"{seed}/{desk.name}/{member}")
     mean_units = sum(desk.units) / 2
-    rate = (desk.usage or plans.MOOD_USAGE[desk.mood]) * quota.rate / mean_units
+    rate = (desk.usage or plans.USAGE_BY_MOOD[desk.mood]) * quota.rate / mean_units
     peak = (1 + plan.arrivals.swing) * math.prod(max(1.0, b.times) for b in plan.arrivals.burst)
     spiky = desk.mood == "spiky"
     size = max(2.0, 0.6 * quota.burst / mean_units) if spiky else 1.0
@@ -142,7 +143,7 @@
         digest = hashlib.blake2b(who.encode(), digest_size=5).digest()
         customer = int.from_bytes(digest) % (1 << 33)
         quota = next(n for n, q in enumerate(plan.plans) if q.name == desk.plan)
-        at_ns = round(at_s * SECOND)
+        at_ns = round(at_s * SECOND_NS)
         told.append(Arrival(len(told), at_ns, customer, quota, kind, units, desk.spread, first))
     return told
 
@@ -155,7 +156,9 @@
     return summed.hexdigest()[:16]
 
 
-def chosen(plan: plans.Plan, seed: int, number: int, servers: tuple[int, ...], share: float) -> list[int]:
+def fault_targets(
+    plan: plans.Plan, seed: int, number: int, servers: tuple[int, ...], share: float
+) -> list[int]:
     """The servers that a fault falls on: those named, or a share drawn by the seed.
 
     Servers that an earlier fault of the plan drew by share are passed over as long as others are left."""
@@ -163,7 +166,11 @@
         return list(servers)
     taken: set[int] = set()
     for n, fault in enumerate(plan.fault[: number + 1]):
-        if not isinstance(fault, plans.Kill | plans.Slow | plans.Drain) or fault.servers or not fault.share:
+        if (
+            not isinstance(fault, plans.KillFault | plans.SlowFault | plans.DrainFault)
+            or fault.servers
+            or not fault.share
+        ):
             continue
         order = sorted(range(plan.fleet.servers), key=lambda s: (s in taken, uniform(seed, "fault", n, s)))
         found = order[: max(1, int(fault.share * plan.fleet.servers))]
--- a/hookport/rehearsal/mutants.py
+++ b/hookport/rehearsal/mutants.py
@@ -23,15 +23,15 @@
 ONE_IN = 25  # requests that a now-and-then mutant spoils
 LEAK_BYTES = 200_000
 CHANCE = random.Random(7)
-Harm = Callable[[], None]
+ApplyMutant = Callable[[], None]
 
 
 class Mutant(NamedTuple):
     """One broken limiter: what it does and the rule under which that is caught."""
 
     rule: str
-    told: str
-    harm: Harm
+    description: str
+    apply: ApplyMutant
 
 
 def patch(owner: Any, name: str, make: Callable[[Any], Any]) -> None:
@@ -324,16 +324,16 @@
     "leaks": Mutant("memory", "keeps something for every request", leaks),
     "mute-to-rude": Mutant("rude", "says nothing to bad clients", leaves_bad_clients),
 }
-SHORT = ("sends-again", "never-answers", "ignores-drains", "others-value")  # what CI plays
-WEAKER: dict[str, Harm] = {"no-ejection": forgets_ejection}
+QUICK_MUTANTS = ("sends-again", "never-answers", "ignores-drains", "others-value")  # what CI plays
+SCORE_VARIANTS: dict[str, ApplyMutant] = {"no-ejection": forgets_ejection}
 
 
 def main() -> int:
     name = sys.argv[1] if len(sys.argv) == 2 else ""
-    if name not in MUTANTS and name not in WEAKER:
-        print(f"mutants: name one of {', '.join((*MUTANTS, *WEAKER))}", file=sys.stderr)
+    if name not in MUTANTS and name not in SCORE_VARIANTS:
+        print(f"mutants: name one of {', '.join((*MUTANTS, *SCORE_VARIANTS))}", file=sys.stderr)
         return 2
-    (MUTANTS[name].harm if name in MUTANTS else WEAKER[name])()
+    (MUTANTS[name].apply if name in MUTANTS else SCORE_VARIANTS[name])()
     del sys.argv[1:]
     return daemon.main()
 
--- a/hookport/rehearsal/plan.py
+++ b/hookport/rehearsal/plan.py
@@ -23,15 +23,15 @@
 NotNegative = Annotated[float, Meta(ge=0, le=1e6)]
 Count = Annotated[int, Meta(ge=0, le=100_000)]
 Name = Annotated[str, Meta(pattern="^[a-z][a-z0-9_-]{0,31}$")]
-MOST_RATE = 20_000  # requests a second, of all desks together: what no one machine plays
-MOOD_USAGE = {"calm": 0.35, "full": 0.9, "heavy": 1.7, "spiky": 0.7}  # of the plan's rate
+MAX_REQUEST_RATE = 20_000  # requests a second, of all desks together: what no one machine plays
+USAGE_BY_MOOD = {"calm": 0.35, "full": 0.9, "heavy": 1.7, "spiky": 0.7}  # of the plan's rate
 
 
 class PlanError(Exception):
     """A plan that cannot be played: file, key and what would do, in one line."""
 
 
-class Fleet(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class FleetSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """The desk servers and how they do their work."""
 
     servers: Annotated[int, Meta(ge=1, le=200)] = 10
@@ -50,7 +50,7 @@
     zones: Annotated[int, Meta(ge=1, le=8)] = 3
 
 
-class Limiters(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class LimiterSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """The limiters under rehearsal: real processes."""
 
     count: Annotated[int, Meta(ge=1, le=32)] = 3
@@ -64,7 +64,7 @@
     kept_list: bool = False  # whether they keep the list on a disk that outlives them
 
 
-class CounterPart(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class CounterSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """The shared counter."""
 
     present: bool = True
@@ -75,7 +75,7 @@
     lost_share: Share = 0.0  # of answers that never come, though the amount was added
 
 
-class Peers(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class PeerSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Datagrams between limiters: at most 256 bytes, late, some lost."""
 
     allowed: bool = False
@@ -84,14 +84,14 @@
     per_s: Annotated[int, Meta(ge=1, le=10_000)] = 40  # that may come to a limiter in a second
 
 
-class DiscoveryPart(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class DiscoverySettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Discovery: one agent for each limiter, each late in its own way."""
 
     delay_s: tuple[NotNegative, NotNegative] = (0.05, 0.6)
     told_within_s: Positive = 6.0  # after which a change counts as told though nobody listened
 
 
-class Class(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class RequestClass(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """One class of requests."""
 
     name: Name
@@ -132,7 +132,7 @@
     shift_by: Annotated[int, Meta(ge=1, le=31)] = 1
 
 
-class Burst(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class LoadBurst(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A while in which all desks ask more."""
 
     at_s: NotNegative
@@ -140,15 +140,15 @@
     times: Positive
 
 
-class Arrivals(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class ArrivalSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """When requests come."""
 
     shape: Literal["steady", "wave", "ramp"] = "steady"
     swing: Share = 0.15
-    burst: tuple[Burst, ...] = ()
+    burst: tuple[LoadBurst, ...] = ()
 
 
-class Clients(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class ClientSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """How clients retry."""
 
     retries: Annotated[int, Meta(ge=0, le=10)] = 2
@@ -160,7 +160,7 @@
     notice_s: tuple[NotNegative, NotNegative] = (0.8, 3.0)  # until the front sees a dead limiter
 
 
-class When(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class Trigger(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """An event at a server that sets off a fault: a cause, where a time would be a hope."""
 
     event: Literal["claim-received", "claim-begun", "claim-effect"]
@@ -172,10 +172,10 @@
     """When it begins: at a time, or when something happens."""
 
     at_s: NotNegative | None = None
-    when: When | None = None
+    when: Trigger | None = None
 
 
-class Kill(FaultBase, tag="kill", frozen=True, forbid_unknown_fields=True, kw_only=True):
+class KillFault(FaultBase, tag="kill", frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Servers die at once and come back cold after back_s, or never."""
 
     servers: tuple[Annotated[int, Meta(ge=0, le=199)], ...] = ()
@@ -184,7 +184,7 @@
     replaced: bool = False  # what comes back has a new id, at the same address
 
 
-class Slow(FaultBase, tag="slow", frozen=True, forbid_unknown_fields=True, kw_only=True):
+class SlowFault(FaultBase, tag="slow", frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Servers take several times as long."""
 
     servers: tuple[Annotated[int, Meta(ge=0, le=199)], ...] = ()
@@ -193,7 +193,7 @@
     for_s: Positive = 10.0
 
 
-class Drain(FaultBase, tag="drain", frozen=True, forbid_unknown_fields=True, kw_only=True):
+class DrainFault(FaultBase, tag="drain", frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Servers are announced as draining, go on with what they have, and come back cold after for_s."""
 
     servers: tuple[Annotated[int, Meta(ge=0, le=199)], ...] = ()
@@ -201,7 +201,7 @@
     for_s: Positive = 6.0
 
 
-class Limiter(FaultBase, tag="limiter", frozen=True, forbid_unknown_fields=True, kw_only=True):
+class LimiterFault(FaultBase, tag="limiter", frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A limiter gets a signal: KILL and TERM are followed by a new start, HUP by new addresses."""
 
     limiter: Annotated[int, Meta(ge=0, le=31)]
@@ -239,7 +239,7 @@
     limiter: Annotated[int, Meta(ge=0, le=31)] | None = None
 
 
-class Link(FaultBase, tag="link", frozen=True, forbid_unknown_fields=True, kw_only=True):
+class LinkFault(FaultBase, tag="link", frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A proxy between a limiter and a server, the counter, discovery or its desks does harm."""
 
     limiter: Annotated[int, Meta(ge=0, le=31)]
@@ -251,18 +251,28 @@
     for_s: Positive = 5.0
 
 
-class Rude(FaultBase, tag="rude", frozen=True, forbid_unknown_fields=True, kw_only=True):
+class BadClientsFault(FaultBase, tag="rude", frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Clients that send what cannot be read, or say nothing."""
 
     each_s: Positive = 20.0  # connections a second
     for_s: Positive = 10.0
 
 
-Fault = Kill | Slow | Drain | Limiter | CounterFault | PeersFault | DiscoveryFault | Link | Rude
-TAGS = ("kill", "slow", "drain", "limiter", "counter", "peers", "discovery", "link", "rude")
+Fault = (
+    KillFault
+    | SlowFault
+    | DrainFault
+    | LimiterFault
+    | CounterFault
+    | PeersFault
+    | DiscoveryFault
+    | LinkFault
+    | BadClientsFault
+)
+FAULT_TAGS = ("kill", "slow", "drain", "limiter", "counter", "peers", "discovery", "link", "rude")
 
 
-class Judge(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class JudgeSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """What the referee allows and how the score is mixed."""
 
     whole: Share = 0.55
@@ -281,17 +291,17 @@
 
     title: Annotated[str, Meta(min_length=1, max_length=120)]
     length_s: Annotated[float, Meta(ge=2, le=3600)] = 60.0
-    fleet: Fleet = Fleet()
-    limiters: Limiters = Limiters()
-    counter: CounterPart = CounterPart()
-    peers: Peers = Peers()
-    discovery: DiscoveryPart = DiscoveryPart()
-    arrivals: Arrivals = Arrivals()
-    clients: Clients = Clients()
-    judge: Judge = Judge()
-    classes: Annotated[tuple[Class, ...], Meta(min_length=1)] = (
-        Class(name="search", aim_ms=750, deadline_ms=3000, worth=2, repeat="safe", work_ms=40),
-        Class(name="claim", aim_ms=1500, deadline_ms=4000, worth=5, repeat="unsafe", work_ms=60),
+    fleet: FleetSettings = FleetSettings()
+    limiters: LimiterSettings = LimiterSettings()
+    counter: CounterSettings = CounterSettings()
+    peers: PeerSettings = PeerSettings()
+    discovery: DiscoverySettings = DiscoverySettings()
+    arrivals: ArrivalSettings = ArrivalSettings()
+    clients: ClientSettings = ClientSettings()
+    judge: JudgeSettings = JudgeSettings()
+    classes: Annotated[tuple[RequestClass, ...], Meta(min_length=1)] = (
+        RequestClass(name="search", aim_ms=750, deadline_ms=3000, worth=2, repeat="safe", work_ms=40),
+        RequestClass(name="claim", aim_ms=1500, deadline_ms=4000, worth=5, repeat="unsafe", work_ms=60),
     )
     plans: Annotated[tuple[Quota, ...], Meta(min_length=1)] = (
         Quota(name="basic", rate=1, burst=4, price=0.88, over_cost=0.5),
@@ -302,12 +312,12 @@
     fault: tuple[Fault, ...] = ()
 
     @property
-    def longest_s(self) -> float:
+    def max_deadline_s(self) -> float:
         """The longest time for which a client waits, in seconds."""
         return max(kind.deadline_ms for kind in self.classes) / 1000
 
 
-def names() -> list[str]:
+def bundled_names() -> list[str]:
     """The bundled plans."""
     folder = resources.files("hookport.rehearsal") / "plans"
     return sorted(item.name.removesuffix(".toml") for item in folder.iterdir() if item.name.endswith(".toml"))
@@ -315,13 +325,15 @@
 
 def load(which: str) -> Plan:
     """A bundled plan by its name, or a file by its path; raises PlanError."""
-    if which in names():
+    if which in bundled_names():
         text = (resources.files("hookport.rehearsal") / "plans" / f"{which}.toml").read_text()
         return parse(text, which)
     if not os.path.exists(which):
-        close = difflib.get_close_matches(which, names(), 1)
+        close = difflib.get_close_matches(which, bundled_names(), 1)
         hint = f"; did you mean {close[0]}?" if close else ""
-        raise PlanError(f"{which}: no such plan: name a TOML file or one of {', '.join(names())}{hint}")
+        raise PlanError(
+            f"{which}: no such plan: name a TOML file or one of {', '.join(bundled_names())}{hint}"
+        )
     try:
         with open(which, "rb") as file:
             text = file.read().decode()
@@ -346,43 +358,60 @@
     try:
         plan = msgspec.convert(told, Plan)
     except msgspec.ValidationError as error:
-        raise PlanError(f"{file}: {explain(str(error))}") from error
-    for key, why in problems(plan):
+        raise PlanError(f"{file}: {format_validation_error(str(error))}") from error
+    for key, why in find_problems(plan):
         raise PlanError(f"{file}: {key}: {why}")
     return plan
 
 
-FAULTS: tuple[type[Struct], ...] = (Kill, Slow, Drain, Limiter, CounterFault, DiscoveryFault, Link, Rude)
-TABLES: dict[str, tuple[type[Struct], ...]] = {
-    "fleet": (Fleet,), "limiters": (Limiters,), "counter": (CounterPart,), "discovery": (DiscoveryPart,),
-    "arrivals": (Arrivals, Burst), "clients": (Clients,), "judge": (Judge,), "classes": (Class,),
-    "plans": (Quota,), "desk": (Desk,), "fault": (*FAULTS, When),
-}  # fmt: skip
-
-
-def keys_at(place: str) -> list[str]:
+FAULT_TYPES: tuple[type[Struct], ...] = (
+    KillFault,
+    SlowFault,
+    DrainFault,
+    LimiterFault,
+    CounterFault,
+    DiscoveryFault,
+    LinkFault,
+    BadClientsFault,
+)
+SECTION_TYPES: dict[str, tuple[type[Struct], ...]] = {
+    "fleet": (FleetSettings,),
+    "limiters": (LimiterSettings,),
+    "counter": (CounterSettings,),
+    "discovery": (DiscoverySettings,),
+    "arrivals": (ArrivalSettings, LoadBurst),
+    "clients": (ClientSettings,),
+    "judge": (JudgeSettings,),
+    "classes": (RequestClass,),
+    "plans": (Quota,),
+    "desk": (Desk,),
+    "fault": (*FAULT_TYPES, Trigger),
+}
+
+
+def known_keys(place: str) -> list[str]:
     """The keys that the table of a place may have, to guess at what a wrong one meant."""
-    kinds = TABLES.get(re.split(r"[.\[]", place)[0], (Plan,))
+    kinds = SECTION_TYPES.get(re.split(r"[.\[]", place)[0], (Plan,))
     return sorted({field for kind in kinds for field in kind.__struct_fields__})
 
 
-def explain(text: str) -> str:
+def format_validation_error(text: str) -> str:
     """msgspec's message with the place first and, where a word is wrong, those that would do."""
     what, _, place = text.partition(" - at `$")
     place = place.rstrip("`").lstrip(".") or "the plan"
     if found := re.search(r"unknown field `(.+?)`", what):
-        close = difflib.get_close_matches(found[1], keys_at(place), 1)
+        close = difflib.get_close_matches(found[1], known_keys(place), 1)
         where = found[1] if place == "the plan" else f"{place}.{found[1]}"
         return f"{where}: unknown key" + (f"; did you mean {close[0]}?" if close else "; take it out")
     if found := re.search(r"missing required field `(.+?)`", what):
         where = found[1] if place == "the plan" else f"{place}.{found[1]}"
         return f"{where}: is missing; add {found[1]} = ..."
     if place.endswith(".do"):
-        return f"{place}: {what}; one of {', '.join(TAGS)} would do"
+        return f"{place}: {what}; one of {', '.join(FAULT_TAGS)} would do"
     return f"{place}: {what}"
 
 
-def problems(plan: Plan) -> Iterator[tuple[str, str]]:
+def find_problems(plan: Plan) -> Iterator[tuple[str, str]]:
     """What no single key can tell: each with its place and what would do."""
     limiters, servers = plan.limiters.count, plan.fleet.servers
     for place, low, high in (
@@ -427,10 +456,10 @@
             yield f"{at}.claims", "no class of that kind; claims = 0 or 1 would do, or add the class"
         if desk.shift_at_s is not None and desk.shift_at_s >= plan.length_s:
             yield f"{at}.shift_at_s", f"is past the end at {plan.length_s:g} s"
-        usage = desk.usage or MOOD_USAGE[desk.mood]
+        usage = desk.usage or USAGE_BY_MOOD[desk.mood]
         rate += usage * quotas[desk.plan].rate * desk.customers / (sum(desk.units) / 2)
-    if rate > MOST_RATE:
-        yield "desk", f"they ask {rate:.0f} times a second together; {MOST_RATE} at most can be played"
+    if rate > MAX_REQUEST_RATE:
+        yield "desk", f"they ask {rate:.0f} times a second together; {MAX_REQUEST_RATE} at most can be played"
     for n, burst in enumerate(plan.arrivals.burst):
         if burst.at_s >= plan.length_s:
             yield f"arrivals.burst[{n}].at_s", f"{burst.at_s:g} is past the end at {plan.length_s:g} s"
@@ -440,26 +469,26 @@
             yield f"{at}.at_s", "a fault begins either at_s or when = { event = ... }; write one of them"
         if fault.at_s is not None and fault.at_s >= plan.length_s:
             yield f"{at}.at_s", f"{fault.at_s:g} is past the end at {plan.length_s:g} s"
-        if isinstance(fault, Kill | Slow | Drain):
+        if isinstance(fault, KillFault | SlowFault | DrainFault):
             if bool(fault.servers) == bool(fault.share) and fault.when is None:
                 yield f"{at}.servers", "name servers = [...] or a share, one of them"
             if any(s >= servers for s in fault.servers):
                 yield f"{at}.servers", f"there is no server {max(fault.servers)}; the last is {servers - 1}"
-        if isinstance(fault, Slow) and fault.times[0] > fault.times[1]:
+        if isinstance(fault, SlowFault) and fault.times[0] > fault.times[1]:
             yield f"{at}.times", f"the range runs from {fault.times[0]:g} down to {fault.times[1]:g}"
         if fault.when and fault.when.server is not None and fault.when.server >= servers:
             yield f"{at}.when.server", f"there is no server {fault.when.server}; the last is {servers - 1}"
-        if isinstance(fault, Limiter | Link) and fault.limiter >= limiters:
+        if isinstance(fault, LimiterFault | LinkFault) and fault.limiter >= limiters:
             yield f"{at}.limiter", f"there is no limiter {fault.limiter}; the last is {limiters - 1}"
         if isinstance(fault, DiscoveryFault) and fault.limiter is not None and fault.limiter >= limiters:
             yield f"{at}.limiter", f"there is no limiter {fault.limiter}; the last is {limiters - 1}"
         if isinstance(fault, CounterFault) and not plan.counter.present:
             yield f"{at}.do", "there is no counter: counter.present = true, or take the fault out"
         if isinstance(fault, CounterFault | PeersFault):
-            yield from sides_problems(fault, at, limiters)
+            yield from find_side_problems(fault, at, limiters)
         if isinstance(fault, PeersFault) and not plan.peers.allowed:
             yield f"{at}.do", "limiters send no datagrams: peers.allowed = true, or take the fault out"
-        if isinstance(fault, Link):
+        if isinstance(fault, LinkFault):
             if fault.to == "server" and (fault.server is None or fault.server >= servers):
                 yield f"{at}.server", f"name one of the servers 0 to {servers - 1}"
             if fault.to == "counter" and not plan.counter.present:
@@ -468,7 +497,7 @@
         yield "judge.whole", "whole, worst_window and worst_plan are parts of the score: they add up to 1"
 
 
-def sides_problems(fault: CounterFault | PeersFault, at: str, limiters: int) -> Iterator[tuple[str, str]]:
+def find_side_problems(fault: CounterFault | PeersFault, at: str, limiters: int) -> Iterator[tuple[str, str]]:
     """What is wrong with the sides that a fault names."""
     listed = [limiter for side in fault.sides for limiter in side]
     if fault.sides and sorted(listed) != list(range(limiters)):
@@ -501,7 +530,7 @@
     return build(told, f"{plan.title} in {length_s:g} s")
 
 
-def settings(plan: Plan, index: int) -> dict[str, Any]:
+def limiter_settings(plan: Plan, index: int) -> dict[str, Any]:
     """What limiter number ``index`` is told of the deployment, in the platform's names and nanoseconds."""
     ms, second = 1_000_000, 1_000_000_000
     largest = max(desk.units[1] for desk in plan.desk)
@@ -582,7 +611,7 @@
     }
 
 
-def configuration(
+def limiter_config(
     plan: Plan, seed: int, number: int, host: str, port: int, places: dict[str, Any]
 ) -> dict[str, Any]:
     """The configuration of limiter ``number``, in the platform's form; ``places`` as ``World.start`` told
@@ -596,7 +625,7 @@
         "seed": f"{(seed * 1000 + number * 10 + 1) % (1 << 63):x}",
         "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
         "known": places["known"][number],
-        "settings": settings(plan, number),
+        "settings": limiter_settings(plan, number),
     }
     if plan.peers.allowed:
         told |= {"peer_listen": places["peers"][number][number], "peers": places["peers"][number]}
--- a/hookport/rehearsal/play.py
+++ b/hookport/rehearsal/play.py
@@ -28,26 +28,26 @@
 
 from hookport.rehearsal import plan as plans
 from hookport.rehearsal.history import Recorder, merge
-from hookport.rehearsal.loops import free_ports, own_host
-
-READY_S = 30.0  # for a process to be ready
-LEAD_S = 0.6  # between the last process being ready and the evening's start
-AFTER_S = 0.5  # after the last deadline
-KILL_AFTER_S = 3.0  # after SIGTERM, or the longest deadline if that is shorter
-KILL_MORE_S = 0.7  # and this much more
-PLANNED_S = 0.3  # after SIGTERM, for which new connections go on coming
-USAGE_S = 0.5
-RELAUNCHES = 4  # in a row, of a limiter that ends before it is ready
+from hookport.rehearsal.runtime import free_ports, random_loopback_host
+
+READY_TIMEOUT_S = 30.0  # for a process to be ready
+START_DELAY_S = 0.6  # between the last process being ready and the evening's start
+END_MARGIN_S = 0.5  # after the last deadline
+MAX_SHUTDOWN_S = 3.0  # after SIGTERM, or the longest deadline if that is shorter
+SHUTDOWN_MARGIN_S = 0.7  # and this much more
+PLANNED_STOP_NOTICE_S = 0.3  # after SIGTERM, for which new connections go on coming
+USAGE_INTERVAL_S = 0.5
+RELAUNCH_ATTEMPTS = 4  # in a row, of a limiter that ends before it is ready
 PR_SET_PDEATHSIG = 1
-SPARE_FILES = 200
-LOG_TAIL = 6  # lines of a process's log that an error shows
+SPARE_DESCRIPTORS = 200
+LOG_TAIL_LINES = 6  # lines of a process's log that an error shows
 DAEMON = (sys.executable, "-m", "hookport")
 PLAIN = (sys.executable, "-m", "hookport.rehearsal.plain")
 RIVAL = (sys.executable, "-m", "hookport.rehearsal.rival")
 
 
 # The list of servers in the configuration of a limiter that is told of none.
-NO_LIST: dict[str, Any] = {"generation": 0, "reset": True, "instances": []}
+EMPTY_SERVER_LIST: dict[str, Any] = {"generation": 0, "reset": True, "instances": []}
 
 
 class PlayError(Exception):
@@ -59,28 +59,28 @@
     """How far an evening is; ``note`` is the last thing that happened."""
 
     stage: str = "starting"
-    passed_s: float = 0.0
-    asked: int = 0
+    elapsed_s: float = 0.0
+    requests: int = 0
     served: int = 0
     refused: int = 0
-    note: str = ""
+    last_event: str = ""
 
 
-def end_within_s(plan: plans.Plan) -> float:
+def shutdown_timeout_s(plan: plans.Plan) -> float:
     """Seconds after SIGTERM until SIGKILL, no sooner than the platform's."""
-    return min(plan.longest_s, KILL_AFTER_S) + KILL_MORE_S
+    return min(plan.max_deadline_s, MAX_SHUTDOWN_S) + SHUTDOWN_MARGIN_S
 
 
-def files_needed(plan: plans.Plan) -> int:
+def descriptors_needed(plan: plans.Plan) -> int:
     """Descriptors that the busiest of the kit's processes may need."""
     listeners = plan.limiters.count * (plan.fleet.servers + 3)
-    return listeners + plan.limiters.count * plan.limiters.sockets // 2 + SPARE_FILES
+    return listeners + plan.limiters.count * plan.limiters.sockets // 2 + SPARE_DESCRIPTORS
 
 
-def allow_files(plan: plans.Plan) -> None:
+def raise_descriptor_limit(plan: plans.Plan) -> None:
     """Raise the soft limit on descriptors to what the plan needs; PlayError if the hard one forbids it."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    need = files_needed(plan)
+    need = descriptors_needed(plan)
     if hard != resource.RLIM_INFINITY and need > hard:
         raise PlayError(
             f"the plan needs {need} descriptors, {hard} are allowed: raise 'ulimit -n', "
@@ -90,7 +90,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (need, hard))
 
 
-def leash(parent: int) -> Callable[[], None]:
+def kill_with_parent(parent: int) -> Callable[[], None]:
     """For a child before it starts: the kernel kills it when its parent dies, however that happens."""
 
     def hold() -> None:
@@ -113,7 +113,7 @@
             sys.executable, "-m", "hookport.rehearsal.reaper", stdin=asyncio.subprocess.PIPE
         )
 
-    def tell(self, word: str, value: object) -> None:
+    def send(self, word: str, value: object) -> None:
         if self.process and self.process.stdin and not self.process.stdin.is_closing():
             self.process.stdin.write(f"{word} {value}\n".encode())
 
@@ -144,7 +144,7 @@
             raise PlayError(told["why"])
         return told
 
-    async def wait_for(self, kind: str, wait_s: float = READY_S) -> dict[str, Any]:
+    async def wait_for(self, kind: str, wait_s: float = READY_TIMEOUT_S) -> dict[str, Any]:
         try:
             async with asyncio.timeout(wait_s):
                 while (told := await self.event())["ev"] != kind:
@@ -175,7 +175,7 @@
 def tail(path: Path) -> str:
     """The last lines of a log, as one line."""
     try:
-        lines = path.read_text(errors="replace").splitlines()[-LOG_TAIL:]
+        lines = path.read_text(errors="replace").splitlines()[-LOG_TAIL_LINES:]
     except OSError:
         return "no log"
     return " | ".join(line.strip()[:200] for line in lines if line.strip()) or "it said nothing"
@@ -193,7 +193,7 @@
     ) -> None:
         self.plan, self.seed, self.command = plan, seed, tuple(command)
         self.progress = progress or Progress()
-        self.host = own_host()
+        self.host = random_loopback_host()
         self.folder = Path()
         self.reaper = Reaper()
         self.workers: dict[str, Worker] = {}
@@ -208,7 +208,7 @@
 
     async def run(self, history: Path) -> None:
         """Play the evening and write its history; raises PlayError."""
-        allow_files(self.plan)
+        raise_descriptor_limit(self.plan)
         try:
             await self.start()
             await self.evening()
@@ -224,7 +224,7 @@
         plan = self.plan
         await self.reaper.start()
         self.folder = Path(tempfile.mkdtemp(prefix="hookport-rehearsal-"))
-        self.reaper.tell("dir", self.folder)
+        self.reaper.send("dir", self.folder)
         self.recorder = Recorder(self.folder / "main.part")
         ports = self.limiter_ports()
         free = free_ports(self.host)
@@ -236,7 +236,7 @@
         places = await world.wait_for("ready")
         for number, port in enumerate(ports):
             life = Life(number, port, self.folder / f"n{number}.json", self.folder / f"n{number}.log")
-            life.told = plans.configuration(plan, self.seed, number, self.host, port, places)
+            life.told = plans.limiter_config(plan, self.seed, number, self.host, port, places)
             self.lives.append(life)
         await asyncio.gather(*(self.launch(life) for life in self.lives))
         desks = await self.worker("desks")
@@ -254,10 +254,10 @@
 
     async def child(self, *words: str, **more: Any) -> asyncio.subprocess.Process:
         process = await asyncio.create_subprocess_exec(
-            *words, start_new_session=True, preexec_fn=leash(os.getpid()), **more
+            *words, start_new_session=True, preexec_fn=kill_with_parent(os.getpid()), **more
         )
         self.children.append(process)
-        self.reaper.tell("pid", process.pid)
+        self.reaper.send("pid", process.pid)
         return process
 
     async def worker(self, name: str) -> Worker:
@@ -291,7 +291,7 @@
                 raise PlayError(f"limiter {life.number} cannot be started: {words}: {error}") from error
         life.count += 1
         life.stopping, life.ready, life.now_s = False, False, 0.0
-        ends = time.monotonic() + READY_S
+        ends = time.monotonic() + READY_TIMEOUT_S
         while not await self.answers(life.port):
             if life.process.returncode is not None:
                 raise PlayError(
@@ -299,14 +299,16 @@
                     f"on {self.host}:{life.port}: {tail(life.log)}"
                 )
             if time.monotonic() > ends:
-                raise PlayError(f"limiter {life.number} was not ready after {READY_S:g} s: {tail(life.log)}")
+                raise PlayError(
+                    f"limiter {life.number} was not ready after {READY_TIMEOUT_S:g} s: {tail(life.log)}"
+                )
             await asyncio.sleep(0.02)
         life.ready = True
         self.limiter(life, "ready")
 
     async def relaunch(self, life: Life) -> None:
         """Start a limiter anew; one that ends before it is ready is tried again, a few times."""
-        for left in reversed(range(RELAUNCHES)):
+        for left in reversed(range(RELAUNCH_ATTEMPTS)):
             try:
                 return await self.launch(life)
             except PlayError:
@@ -340,7 +342,7 @@
 
     async def evening(self) -> None:
         world, desks = self.workers["world"], self.workers["desks"]
-        self.start_ns = time.monotonic_ns() + round(LEAD_S * 1e9)
+        self.start_ns = time.monotonic_ns() + round(START_DELAY_S * 1e9)
         for worker in (world, desks):
             worker.order(op="go", start_ns=self.start_ns)
         self.progress.stage = "playing"
@@ -348,11 +350,11 @@
             self.spawn(call)
         for life in self.lives:
             self.spawn(self.guard(life))
-        length_s = self.plan.length_s + self.plan.longest_s + AFTER_S
+        length_s = self.plan.length_s + self.plan.max_deadline_s + END_MARGIN_S
         ends_ns = self.start_ns + round(length_s * 1e9)
-        earliest_ns = self.start_ns + round((self.plan.length_s + AFTER_S) * 1e9)
+        earliest_ns = self.start_ns + round((self.plan.length_s + END_MARGIN_S) * 1e9)
         while (now_ns := time.monotonic_ns()) < ends_ns and not (now_ns > earliest_ns and not self.open):
-            self.progress.passed_s = max(0.0, (now_ns - self.start_ns) / 1e9)
+            self.progress.elapsed_s = max(0.0, (now_ns - self.start_ns) / 1e9)
             await asyncio.wait({self.failed}, timeout=0.1)
             if self.failed.done():
                 self.failed.result()
@@ -372,10 +374,10 @@
         while True:
             told = await worker.event()
             if told["ev"] == "beat":
-                self.progress.asked, self.progress.served = told["asked"], told["served"]
+                self.progress.requests, self.progress.served = told["asked"], told["served"]
                 self.progress.refused, self.open = told["refused"], told["open"]
             elif told["ev"] == "fault":
-                self.progress.note = told["text"]
+                self.progress.last_event = told["text"]
             elif told["ev"] == "limiter":
                 self.spawn(self.signal(self.lives[told["l"]], told))
             elif told["ev"] == "known":
@@ -412,7 +414,7 @@
         if planned:
             self.limiter(life, "term")
             process.terminate()
-            await self.end_in_time(life, process, PLANNED_S)
+            await self.end_in_time(life, process, PLANNED_STOP_NOTICE_S)
         else:
             self.limiter(life, "kill")
             process.kill()
@@ -421,10 +423,10 @@
         life.known.clear()
         await asyncio.sleep(told["back_s"])
         if self.plan.limiters.known == "none":
-            life.told["known"] = NO_LIST
+            life.told["known"] = EMPTY_SERVER_LIST
         else:
             self.workers["world"].order(op="known", l=life.number)
-            await asyncio.wait_for(life.known.wait(), READY_S)
+            await asyncio.wait_for(life.known.wait(), READY_TIMEOUT_S)
         life.cpu_s += life.now_s
         await self.relaunch(life)
         self.tell_desks(life, True, True)
@@ -432,7 +434,7 @@
 
     async def end_in_time(self, life: Life, process: asyncio.subprocess.Process, planned_s: float) -> None:
         """Wait for the end after SIGTERM, or bring it about."""
-        wait_s = end_within_s(self.plan)
+        wait_s = shutdown_timeout_s(self.plan)
         asyncio.get_running_loop().call_later(planned_s, self.tell_desks, life, False, True)
         try:
             code = await asyncio.wait_for(process.wait(), wait_s)
@@ -456,7 +458,7 @@
             return
         life.stopping = True
         self.limiter(life, "gone", code=code)
-        self.progress.note = f"limiter {life.number} ended by itself: {tail(life.log)[:80]}"
+        self.progress.last_event = f"limiter {life.number} ended by itself: {tail(life.log)[:80]}"
         self.tell_desks(life, False, False)
         await asyncio.sleep(1.0)
         life.cpu_s += life.now_s
@@ -481,9 +483,9 @@
                 life.now_s = sum(t.user + t.system for t in times)
                 self.note({"e": "usage", "l": life.number, "cpu_s": round(life.cpu_s + life.now_s, 3),
                            "rss_mb": round(rss / (1 << 20), 2), "p": life.count})  # fmt: skip
-            await asyncio.sleep(USAGE_S)
+            await asyncio.sleep(USAGE_INTERVAL_S)
             now_s = time.monotonic()
-            held_ms = (now_s - last_s - USAGE_S) * 1000
+            held_ms = (now_s - last_s - USAGE_INTERVAL_S) * 1000
             last_s = now_s
             if held_ms > 150:
                 self.note({"e": "lag", "who": "main", "ms": round(held_ms, 1)})
@@ -512,7 +514,7 @@
             worker.order(op="end")
         for worker in self.workers.values():
             try:
-                await asyncio.wait_for(worker.process.wait(), READY_S)
+                await asyncio.wait_for(worker.process.wait(), READY_TIMEOUT_S)
             except TimeoutError:
                 raise PlayError(f"the {worker.name} process did not end: {tail(worker.log)}") from None
         if self.recorder:
@@ -534,7 +536,7 @@
                 process.kill()
         for process in self.children:
             await process.wait()
-            self.reaper.tell("done", process.pid)
+            self.reaper.send("done", process.pid)
         if self.recorder:
             self.recorder.close()
         if self.folder != Path():
--- a/hookport/rehearsal/show.py
+++ b/hookport/rehearsal/show.py
@@ -53,11 +53,11 @@
         is_due = time.monotonic() - self.shown_s >= LOG_INTERVAL_S
         for name, (task, progress, length_s) in list(self.rows.items()):
             text = (
-                f"{progress.stage} {min(progress.passed_s, length_s):3.0f}/{length_s:.0f} s"
-                f"  requests {progress.asked}  served {progress.served}"
-                f"  refused {progress.refused}  {progress.note}"
+                f"{progress.stage} {min(progress.elapsed_s, length_s):3.0f}/{length_s:.0f} s"
+                f"  requests {progress.requests}  served {progress.served}"
+                f"  refused {progress.refused}  {progress.last_event}"
             )
-            self.bars.update(task, completed=min(progress.passed_s, length_s), status=text)
+            self.bars.update(task, completed=min(progress.elapsed_s, length_s), status=text)
             if is_due and not self.console.is_terminal:
                 print(f"{name}: {text}", file=sys.stderr, flush=True)
         if is_due:
--- a/hookport/rehearsal/standins/counter.py
+++ b/hookport/rehearsal/standins/counter.py
@@ -13,7 +13,7 @@
 
 import hiredis
 
-from hookport.rehearsal.loops import Place, Slots, listen
+from hookport.rehearsal.runtime import Environment, OrderedReplies, listen
 
 MAX_TTL_MS = 60_000
 MAX_CONNECTIONS = 32  # per limiter
@@ -33,7 +33,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.slots = Slots(self.write)
+        self.slots = OrderedReplies(self.write)
         open_count = sum(connection.limiter == self.limiter for connection in self.counter.connections)
         if open_count >= MAX_CONNECTIONS:
             return self.transport.abort()
@@ -171,24 +171,24 @@
             connection.transport.abort()
 
     def handle_command(self, connection: Connection, arguments: Any) -> None:
-        slot = connection.slots.take()
+        slot = connection.slots.reserve()
         command = (
             arguments[0].upper()
             if isinstance(arguments, list) and arguments and isinstance(arguments[0], bytes)
             else b""
         )
         if command == b"PING":
-            return connection.slots.give(slot, b"+PONG\r\n")
+            return connection.slots.complete(slot, b"+PONG\r\n")
         if command in (b"CLIENT", b"SELECT"):
-            return connection.slots.give(slot, b"+OK\r\n")
+            return connection.slots.complete(slot, b"+OK\r\n")
         if command != b"INCRTTL" or len(arguments) != 4 or not 1 <= len(arguments[1]) <= 64:
-            return connection.slots.give(slot, b"-ERR no such call\r\n")
+            return connection.slots.complete(slot, b"-ERR no such call\r\n")
         try:
             amount, ttl_ms = float(arguments[2]), min(MAX_TTL_MS, int(arguments[3]))
         except ValueError:
-            return connection.slots.give(slot, b"-ERR not a number\r\n")
+            return connection.slots.complete(slot, b"-ERR not a number\r\n")
         if not abs(amount) <= 1e9 or ttl_ms < 1:
-            return connection.slots.give(slot, b"-ERR out of range\r\n")
+            return connection.slots.complete(slot, b"-ERR out of range\r\n")
         self.calls[connection.limiter] += 1
         now_s = self.loop.time()
         shard = zlib.crc32(arguments[1]) % len(self.shard_free_s)
@@ -196,7 +196,7 @@
             connection.muted = True  # the call is dropped, and ordered replies cannot pass it
             return
         if (self.shard_free_s[shard] - now_s) * self.per_s > self.queue_limit or self.mode == "busy":
-            return connection.slots.give(slot, b"-BUSY\r\n")
+            return connection.slots.complete(slot, b"-BUSY\r\n")
         self.shard_free_s[shard] = max(now_s, self.shard_free_s[shard]) + 1 / self.per_s
         self.loop.call_at(
             self.shard_free_s[shard], self.execute, connection, slot, arguments[1], amount, ttl_ms
@@ -221,10 +221,10 @@
         total = b"%.7g" % self.add(side, key, amount, ttl_ms, self.loop.time())
         answer = b"$%d\r\n%s\r\n" % (len(total), total)
         if self.mode == "noise":
-            answer = NOISE[Place.clock_ns() // 1000 % len(NOISE)]
+            answer = NOISE[Environment.clock_ns() // 1000 % len(NOISE)]
         if self.mode == "silent" or self.answer_lost():
             connection.muted = True
         if self.mode == "late":
-            self.loop.call_later(self.answer_delay_s, connection.slots.give, slot, answer)
+            self.loop.call_later(self.answer_delay_s, connection.slots.complete, slot, answer)
         else:
-            connection.slots.give(slot, answer)
+            connection.slots.complete(slot, answer)
--- a/hookport/rehearsal/standins/datagrams.py
+++ b/hookport/rehearsal/standins/datagrams.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from hookport.rehearsal.loops import Place
+from hookport.rehearsal.runtime import Environment
 
 MAX_DATAGRAM_BYTES = 256  # a larger datagram is counted and dropped
 RandomSource = Callable[[str, int], float]  # (purpose, datagram number): a number from 0 to 1
@@ -62,15 +62,18 @@
         self.ports, count = ports, len(ports)
         self.sent, self.largest_bytes, self.busiest_second = [0] * count, [0] * count, [0] * count
         self.current_second = [(0, 0)] * count
-        addresses = [[f"{Place.host}:{ports[n]}"] * count for n in range(count)]
+        addresses = [[f"{Environment.host}:{ports[n]}"] * count for n in range(count)]
         for sender in range(count):
             for receiver in range(count):
                 if sender != receiver:
                     socket = RelaySocket(self, sender, receiver)
-                    await self.loop.create_datagram_endpoint(lambda socket=socket: socket, (Place.host, 0))  # type: ignore[misc]
+                    await self.loop.create_datagram_endpoint(
+                        lambda socket=socket: socket,  # type: ignore[misc]
+                        (Environment.host, 0),
+                    )
                     self.sockets[sender, receiver] = socket
                     _, port = socket.transport.get_extra_info("sockname")
-                    addresses[sender][receiver] = f"{Place.host}:{port}"
+                    addresses[sender][receiver] = f"{Environment.host}:{port}"
         return addresses
 
     def is_partitioned(self, first: int, second: int) -> bool:
@@ -95,7 +98,7 @@
         self.busiest_second[receiver] = max(self.busiest_second[receiver], self.current_second[receiver][1])
         socket = self.sockets[receiver, sender]  # the receiver sees this sender at this socket
         if not socket.transport.is_closing():
-            socket.transport.sendto(data, (Place.host, self.ports[receiver]))
+            socket.transport.sendto(data, (Environment.host, self.ports[receiver]))
 
     def close(self) -> None:
         for socket in self.sockets.values():
--- a/hookport/rehearsal/standins/discovery.py
+++ b/hookport/rehearsal/standins/discovery.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from hookport.rehearsal.loops import Note, Place, listen
+from hookport.rehearsal.runtime import Environment, RowWriter, listen
 
 KEEPALIVE_INTERVAL_S = 2.0  # between the empty lines that keep an idle watch alive
 REQUEST = re.compile(rb"GET (/v1/endpoints)(?:\?(\S*))? HTTP/1\.[01]\r\n")
@@ -73,7 +73,7 @@
         limiter: int,
         delay_s: float,
         address: Callable[[Entry], str],
-        write_row: Note,
+        write_row: RowWriter,
         assume_notified_after_s: float = 6.0,
     ) -> None:
         self.loop, self.limiter, self.delay_s = loop, limiter, delay_s
@@ -203,8 +203,9 @@
             state, started_ms = row["lifecycle"], row["startedAtMs"]
             if self.notified.get(row["instanceId"]) != (state, started_ms):
                 self.notified[row["instanceId"]] = (state, started_ms)
-                self.write_row({"e": "told", "t": Place.clock_ns(), "l": self.limiter, "s": row["instanceId"],
-                                "state": state, "born": started_ms, "arrived": arrived})  # fmt: skip
+                self.write_row({"e": "told", "t": Environment.clock_ns(), "l": self.limiter,
+                                "s": row["instanceId"], "state": state, "born": started_ms,
+                                "arrived": arrived})  # fmt: skip
 
     def assume_notified(self, entries: list[Entry]) -> None:
         for entry in entries:
--- a/hookport/rehearsal/standins/proxy.py
+++ b/hookport/rehearsal/standins/proxy.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Literal, cast
 
-from hookport.rehearsal.loops import Place, listen
+from hookport.rehearsal.runtime import Environment, listen
 from hookport.rehearsal.standins.server import LINGER_RESET
 
 Mode = Literal["pass", "delay", "silence", "reset", "trickle", "truncate", "garbage", "refuse"]
@@ -118,7 +118,7 @@
     async def connect_target(self, client_side: ProxyConnection) -> None:
         try:
             await self.loop.create_connection(
-                lambda: ProxyConnection(self, client_side), Place.host, self.target()
+                lambda: ProxyConnection(self, client_side), Environment.host, self.target()
             )
         except OSError:
             if client_side.transport:
--- a/hookport/rehearsal/standins/server.py
+++ b/hookport/rehearsal/standins/server.py
@@ -17,7 +17,7 @@
 
 import hiredis
 
-from hookport.rehearsal.loops import Note, Place, Slots, listen
+from hookport.rehearsal.runtime import Environment, OrderedReplies, RowWriter, listen
 
 LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a zero timeout: close() sends a TCP reset
 # Tolerated work above the overload budget, in jobs of mean length, because arrivals are random.
@@ -86,11 +86,11 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.slots = Slots(self.transport.write)
+        self.slots = OrderedReplies(self.transport.write)
         self.server.accept(self)
 
     def data_received(self, data: bytes) -> None:
-        now_ns = Place.clock_ns()
+        now_ns = Environment.clock_ns()
         if not self.partial:
             self.first_byte_ns = now_ns
         self.parser.feed(data)
@@ -123,7 +123,7 @@
         index: int,
         model: Model,
         look_up: Callable[[str], RequestSpec | None],
-        write_row: Note,
+        write_row: RowWriter,
         hook: EventHook | None = None,
     ) -> None:
         self.loop, self.index, self.model = loop, index, model
@@ -150,9 +150,9 @@
             self.listeners.append(listener)
             self.ports.append(port)
         self.up, self.cold, self.draining = True, cold, False
-        started_ns = Place.clock_ns()
+        started_ns = Environment.clock_ns()
         self.started_s = started_ns / 1e9
-        self.started_ms = Place.unix_ns() // 1_000_000 if cold else 0
+        self.started_ms = Environment.unix_ns() // 1_000_000 if cold else 0
         self.recent_work.clear()
         self.recent_work_s = 0.0
         self.write_row({"e": "up", "t": started_ns, "s": id, "i": self.index, "born": self.started_ms,
@@ -174,7 +174,7 @@
         self.queue.clear()
         for connection in list(self.connections):
             connection.reset()
-        self.write_row({"e": "down", "t": Place.clock_ns(), "s": self.id, "i": self.index, "why": why})
+        self.write_row({"e": "down", "t": Environment.clock_ns(), "s": self.id, "i": self.index, "why": why})
 
     # Connections
 
@@ -213,12 +213,12 @@
     # Commands
 
     def record_syntax_error(self, connection: Connection, why: str) -> None:
-        self.write_row({"e": "syntax", "t": Place.clock_ns(), "l": connection.limiter, "s": self.id,
+        self.write_row({"e": "syntax", "t": Environment.clock_ns(), "l": connection.limiter, "s": self.id,
                         "why": why[:120]})  # fmt: skip
 
     def handle_command(self, connection: Connection, arguments: Any, first_byte_ns: int, now_ns: int) -> None:
         connection.last_used_s = self.loop.time()
-        slot = connection.slots.take()
+        slot = connection.slots.reserve()
         command = (
             arguments[0].upper()
             if isinstance(arguments, list) and arguments and isinstance(arguments[0], bytes)
@@ -232,7 +232,7 @@
             b"SELECT": b"+OK\r\n",
             b"INFO": b"-NOPERM\r\n",
         }
-        connection.slots.give(slot, replies.get(command, b"-ERR unknown command\r\n"))
+        connection.slots.complete(slot, replies.get(command, b"-ERR unknown command\r\n"))
 
     def handle_attempt(
         self,
@@ -246,7 +246,7 @@
         spec = self.look_up(arguments[2].decode("ascii", "replace")) if len(arguments) == 4 + submit else None
         if spec is None or spec.unsafe != submit or b"d=" not in arguments[3]:
             self.record_syntax_error(connection, repr(arguments)[:100])
-            return connection.slots.give(slot, b"-SYNTAX\r\n")
+            return connection.slots.complete(slot, b"-SYNTAX\r\n")
         self.attempt_count += 1
         attempt_id = (self.index << 40) | (self.incarnation << 32) | self.attempt_count
         job = Job(attempt_id, arguments[2].decode(), spec, connection, slot)
@@ -259,8 +259,8 @@
             return
         is_full = len(self.running) >= self.model.cores and len(self.queue) >= self.model.queue_capacity
         if is_full or self.draining:
-            self.write_row({"e": "turned", "t": Place.clock_ns(), "id": job.id, "a": attempt_id})
-            return connection.slots.give(slot, b"-BUSY\r\n")
+            self.write_row({"e": "turned", "t": Environment.clock_ns(), "id": job.id, "a": attempt_id})
+            return connection.slots.complete(slot, b"-BUSY\r\n")
         connection.jobs[job] = None
         self.queue.append(job)
         self.start_jobs()
@@ -283,7 +283,7 @@
         )
         if self.recent_work_s <= budget_s + OVERLOAD_SLACK_JOBS * self.model.mean_work_s:
             return False
-        self.write_row({"e": "fell", "t": Place.clock_ns(), "s": self.id})
+        self.write_row({"e": "fell", "t": Environment.clock_ns(), "s": self.id})
         self.stop("fell over")
         return True
 
@@ -294,7 +294,7 @@
             job = self.queue.popleft()
             job.state = "running"
             self.running[job] = None
-            age_s = Place.clock_ns() / 1e9 - self.started_s if self.cold else self.model.warm_up_s
+            age_s = Environment.clock_ns() / 1e9 - self.started_s if self.cold else self.model.warm_up_s
             speed = self.model.capacity(age_s) / self.model.cores
             job.timer = self.loop.call_later(job.spec.work_s * self.slowness / speed, self.finish_job, job)
             if job.spec.unsafe and self.hook:
@@ -308,7 +308,7 @@
         job.connection.jobs.pop(job, None)
         if job.spec.unsafe:
             self.write_row(
-                {"e": "effect", "t": Place.clock_ns(), "id": job.id, "s": self.id, "a": job.attempt_id}
+                {"e": "effect", "t": Environment.clock_ns(), "id": job.id, "s": self.id, "a": job.attempt_id}
             )
             if self.hook:
                 self.hook("claim-effect", self, job)
@@ -320,9 +320,11 @@
         if job.connection not in self.connections:
             return
         if job.spec.fails:
-            return job.connection.slots.give(job.slot, b"-ERR failed\r\n")
+            return job.connection.slots.complete(job.slot, b"-ERR failed\r\n")
         value = f"{self.id}/{job.id}/{job.attempt_id & 0xFFFFFFFF}"
-        self.write_row({"e": "reply", "t": Place.clock_ns(), "id": job.id, "v": value, "a": job.attempt_id})
+        self.write_row(
+            {"e": "reply", "t": Environment.clock_ns(), "id": job.id, "v": value, "a": job.attempt_id}
+        )
         self.served += 1
         text = value.encode()
-        job.connection.slots.give(job.slot, b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(text), text))
+        job.connection.slots.complete(job.slot, b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(text), text))
--- a/hookport/rehearsal/trace.py
+++ b/hookport/rehearsal/trace.py
@@ -19,7 +19,7 @@
     history = list(rows)
     number = int(which) if which.isdigit() and len(which) < 16 else None
     if number is None:
-        decoded = draw.request_of(seed, which)
+        decoded = draw.decode_request_id(seed, which)
         if decoded is None:
             raise TraceError(f"--trace: {which}: not a request number or an attempt id of seed {seed}")
         number = decoded[0]
--- a/hookport/rehearsal/trial.py
+++ b/hookport/rehearsal/trial.py
@@ -45,7 +45,7 @@
 def chosen_mutants(only: str | None, short: bool) -> list[str]:
     """Return the mutants to try; raises PlanError for an unknown name."""
     if not only:
-        return list(mutants.SHORT if short else mutants.MUTANTS)
+        return list(mutants.QUICK_MUTANTS if short else mutants.MUTANTS)
     names = list(dict.fromkeys(name.strip() for name in only.split(",") if name.strip()))
     for name in names:
         if name not in mutants.MUTANTS:
--- a/hookport/rehearsal/world.py
+++ b/hookport/rehearsal/world.py
@@ -16,7 +16,7 @@
 from hookport.rehearsal import draw
 from hookport.rehearsal import plan as plans
 from hookport.rehearsal.history import Recorder
-from hookport.rehearsal.loops import Lag, Orders, Place, work
+from hookport.rehearsal.runtime import Environment, LagMonitor, WorkerPipe, run_worker
 from hookport.rehearsal.standins import Agent, Counter, DatagramRelay, Fleet, Model, Proxy, Server
 from hookport.rehearsal.standins.server import Job, RequestSpec
 
@@ -56,7 +56,7 @@
         for n in range(fleet.servers):
             model = Model(
                 cores=fleet.cores,
-                speed=draw.between(*fleet.speed, seed, "speed", n),
+                speed=draw.uniform_between(*fleet.speed, seed, "speed", n),
                 queue_capacity=fleet.queue_per_core * fleet.cores,
                 cold_capacity_share=fleet.cold_from,
                 warm_up_s=fleet.cold_s,
@@ -72,7 +72,7 @@
             await server.start(self.server_id(n, 0), limiters)
             self.servers.append(server)
         for limiter in range(limiters):
-            delay_s = draw.between(*plan.discovery.delay_s, seed, "agent", limiter)
+            delay_s = draw.uniform_between(*plan.discovery.delay_s, seed, "agent", limiter)
             assume_notified_after_s = plan.discovery.told_within_s
             address = functools.partial(self.server_address, limiter=limiter)
             self.agents.append(
@@ -94,7 +94,7 @@
             self.datagrams = DatagramRelay(self.loop, plan.peers.loss, (min_ms / 1000, max_ms / 1000), random)
             peers = await self.datagrams.start(peer_ports)
         for fault in plan.fault:
-            if isinstance(fault, plans.Link):
+            if isinstance(fault, plans.LinkFault):
                 await self.create_proxy(fault)
         self.fleet.agents = self.agents
         self.fleet.add(*(self.entry(server) for server in self.servers))
@@ -115,14 +115,14 @@
             proxy.close()
         if self.counter:
             for limiter, calls in enumerate(self.counter.calls):
-                self.write_row({"e": "counts", "t": Place.clock_ns(), "l": limiter, "calls": calls})
+                self.write_row({"e": "counts", "t": Environment.clock_ns(), "l": limiter, "calls": calls})
             self.counter.close()
         if self.datagrams:
             figures = zip(
                 self.datagrams.sent, self.datagrams.largest_bytes, self.datagrams.busiest_second, strict=True
             )
             for limiter, (sent, largest, busiest) in enumerate(figures):
-                self.write_row({"e": "words", "t": Place.clock_ns(), "l": limiter, "sent": sent,
+                self.write_row({"e": "words", "t": Environment.clock_ns(), "l": limiter, "sent": sent,
                                 "largest": largest, "busiest": busiest})  # fmt: skip
             self.datagrams.close()
 
@@ -146,7 +146,7 @@
     def server_address(self, entry: dict[str, Any], limiter: int) -> str:
         index = entry["index"]
         proxy = self.proxies.get(("server", limiter, index))
-        return f"{Place.host}:{proxy.port if proxy else self.servers[index].ports[limiter]}"
+        return f"{Environment.host}:{proxy.port if proxy else self.servers[index].ports[limiter]}"
 
     def discovery_port(self, limiter: int) -> int:
         proxy = self.proxies.get(("discovery", limiter, 0))
@@ -160,7 +160,7 @@
         proxy = self.proxies.get(("desks", limiter, 0))
         return proxy.port if proxy else self.limiter_ports[limiter]
 
-    async def create_proxy(self, fault: plans.Link) -> None:
+    async def create_proxy(self, fault: plans.LinkFault) -> None:
         limiter, server = fault.limiter, fault.server or 0
         key = (fault.to, limiter, server if fault.to == "server" else 0)
         if key in self.proxies:
@@ -178,15 +178,17 @@
 
     def look_up(self, id: str) -> RequestSpec | None:
         """Return what the plan defines for a request id, or None if no client sends that id."""
-        found = draw.request_of(self.seed, id)
+        found = draw.decode_request_id(self.seed, id)
         if found is None or found[0] >= len(self.arrivals):
             return None
         arrival = self.arrivals[found[0]]
-        work_ms = round(draw.work_ms(self.plan, self.seed, arrival.kind, arrival.units, arrival.number), 3)
+        work_ms = round(
+            draw.work_ms(self.plan, self.seed, arrival.class_index, arrival.units, arrival.number), 3
+        )
         share = self.plan.fleet.error_share
         return RequestSpec(
             work_s=work_ms / 1000,
-            unsafe=self.plan.classes[arrival.kind].repeat != "safe",
+            unsafe=self.plan.classes[arrival.class_index].repeat != "safe",
             fails=share > 0 and draw.uniform(self.seed, "error", id) < share,
         )
 
@@ -206,14 +208,14 @@
                 self.schedule_fault(fault.at_s, number)
 
     def schedule_fault(self, at_s: float, number: int) -> None:
-        wait_s = (self.start_ns - Place.clock_ns()) / 1e9 + at_s
+        wait_s = (self.start_ns - Environment.clock_ns()) / 1e9 + at_s
         self.loop.call_later(max(0.0, wait_s), self.start_fault, number, None)
 
     def on_server_event(self, event: str, server: Server, job: Job) -> None:
         """Start the faults whose ``when`` condition this event meets."""
         if not self.pending_faults or not self.start_ns:
             return
-        now_s = (Place.clock_ns() - self.start_ns) / 1e9
+        now_s = (Environment.clock_ns() - self.start_ns) / 1e9
         for number in list(self.pending_faults):
             when = self.plan.fault[number].when
             if when and when.event == event and now_s >= when.after_s and when.server in (None, server.index):
@@ -224,10 +226,11 @@
         """Start a fault now; a task continues what takes time."""
         fault = self.plan.fault[number]
         targets = self.targets(number, server)
-        if isinstance(fault, plans.Kill):  # in this loop iteration: the triggering event must not complete
+        if isinstance(fault, plans.KillFault):
+            # In this loop iteration: the triggering event must not complete.
             for target in targets:
                 target.stop("killed")
-        if isinstance(fault, plans.Limiter) and job is not None:
+        if isinstance(fault, plans.LimiterFault) and job is not None:
             fault = msgspec.structs.replace(fault, limiter=job.limiter)  # the limiter that sent the job
         task = self.loop.create_task(self.run_fault(fault, targets))
         self.tasks.add(task)
@@ -240,25 +243,26 @@
 
     def targets(self, number: int, server: Server | None) -> list[Server]:
         fault = self.plan.fault[number]
-        if not isinstance(fault, plans.Kill | plans.Slow | plans.Drain):
+        if not isinstance(fault, plans.KillFault | plans.SlowFault | plans.DrainFault):
             return []
         if server is not None and not fault.servers and not fault.share:
             return [server]
         return [
-            self.servers[n] for n in draw.chosen(self.plan, self.seed, number, fault.servers, fault.share)
+            self.servers[n]
+            for n in draw.fault_targets(self.plan, self.seed, number, fault.servers, fault.share)
         ]
 
     def record_fault(self, text: str) -> None:
-        self.write_row({"e": "fault", "t": Place.clock_ns(), "text": text})
+        self.write_row({"e": "fault", "t": Environment.clock_ns(), "text": text})
         self.send_event(ev="fault", text=text)
 
     async def run_fault(self, fault: plans.Fault, targets: list[Server]) -> None:
         indexes = ", ".join(str(server.index) for server in targets)
-        if isinstance(fault, plans.Kill):
+        if isinstance(fault, plans.KillFault):
             self.record_fault(f"servers {indexes} killed")
             await asyncio.gather(*(self.restart_killed(server, fault) for server in targets))
-        elif isinstance(fault, plans.Slow):
-            factors = [draw.between(*fault.times, self.seed, "slow", s.index) for s in targets]
+        elif isinstance(fault, plans.SlowFault):
+            factors = [draw.uniform_between(*fault.times, self.seed, "slow", s.index) for s in targets]
             self.record_fault(f"servers {indexes} slow ({', '.join(f'{f:.1f}x' for f in factors)})")
             for server, factor in zip(targets, factors, strict=True):
                 server.slowness = factor
@@ -266,7 +270,7 @@
             for server in targets:
                 server.slowness = 1.0
             self.record_fault(f"servers {indexes} as fast as before")
-        elif isinstance(fault, plans.Drain):
+        elif isinstance(fault, plans.DrainFault):
             self.record_fault(f"servers {indexes} draining")
             for server in targets:
                 server.draining = True
@@ -276,7 +280,7 @@
                 server.stop("restarted")
                 await self.restart_server(server, False)
             self.record_fault(f"servers {indexes} back, cold")
-        elif isinstance(fault, plans.Limiter):
+        elif isinstance(fault, plans.LimiterFault):
             await self.signal_limiter(fault)
         elif isinstance(fault, plans.CounterFault):
             await self.run_counter_fault(fault)
@@ -284,15 +288,15 @@
             await self.run_peers_fault(fault)
         elif isinstance(fault, plans.DiscoveryFault):
             await self.run_discovery_fault(fault)
-        elif isinstance(fault, plans.Link):
+        elif isinstance(fault, plans.LinkFault):
             await self.run_link_fault(fault)
 
-    async def restart_killed(self, server: Server, fault: plans.Kill) -> None:
+    async def restart_killed(self, server: Server, fault: plans.KillFault) -> None:
         """Report a killed server to discovery after a delay, and restart it if the fault says so.
 
         A server that is back before that delay is reported as deleted only if another id replaces it."""
         old = server.id
-        notice_s = draw.between(*self.plan.fleet.delete_s, self.seed, "notice", server.index)
+        notice_s = draw.uniform_between(*self.plan.fleet.delete_s, self.seed, "notice", server.index)
         back_s = fault.back_s
         if back_s is None or back_s > notice_s:
             await asyncio.sleep(notice_s)
@@ -313,7 +317,7 @@
         await asyncio.sleep(REGISTRATION_DELAY_S)
         self.fleet.change(server.id, **self.entry(server))
 
-    async def signal_limiter(self, fault: plans.Limiter) -> None:
+    async def signal_limiter(self, fault: plans.LimiterFault) -> None:
         addresses: dict[str, Any] = {}
         n = fault.limiter
         if fault.signal == "HUP":
@@ -365,14 +369,14 @@
             agent.set_silent(False)
         self.record_fault("discovery well again")
 
-    async def run_link_fault(self, fault: plans.Link) -> None:
+    async def run_link_fault(self, fault: plans.LinkFault) -> None:
         key = (fault.to, fault.limiter, (fault.server or 0) if fault.to == "server" else 0)
         proxy = self.proxies[key]
         target = f"server {fault.server}" if fault.to == "server" else fault.to
         self.record_fault(f"link of limiter {fault.limiter} to {target}: {fault.mode}")
         if fault.to == "desks":
-            until_ns = Place.clock_ns() + round((fault.for_s + 1) * 1e9)
-            excuse = {"e": "excuse", "t": Place.clock_ns(), "l": fault.limiter, "until": until_ns}
+            until_ns = Environment.clock_ns() + round((fault.for_s + 1) * 1e9)
+            excuse = {"e": "excuse", "t": Environment.clock_ns(), "l": fault.limiter, "until": until_ns}
             self.write_row(excuse | ({"garbled": True} if fault.mode == "garbage" else {}))
         proxy.set_mode(fault.mode, fault.delay_ms / 1000, fault.byte)
         await asyncio.sleep(fault.for_s)
@@ -385,29 +389,29 @@
 
     world: World
     recorder: Recorder
-    lag: Lag
+    lag: LagMonitor
 
-    async def take(self, orders: Orders, order: dict[str, Any]) -> bool:
+    async def take(self, orders: WorkerPipe, order: dict[str, Any]) -> bool:
         if order["op"] == "start":
-            Place.host = order["host"]
+            Environment.host = order["host"]
             plan = msgspec.convert(order["plan"], plans.Plan)
             self.recorder = Recorder(order["part"])
-            self.world = World(plan, order["seed"], self.recorder, orders.tell)
-            orders.tell(ev="ready", **await self.world.start(order["limiters"], order["words"]))
-            self.lag = Lag(self.world.loop, "world", self.world.write_row)
+            self.world = World(plan, order["seed"], self.recorder, orders.send_event)
+            orders.send_event(ev="ready", **await self.world.start(order["limiters"], order["words"]))
+            self.lag = LagMonitor(self.world.loop, "world", self.world.write_row)
         elif order["op"] == "go":
             self.world.schedule_faults(order["start_ns"])
         elif order["op"] == "known":
             known = self.world.agents[order["l"]].known_list(notified=True)
-            orders.tell(ev="known", l=order["l"], known=known)
+            orders.send_event(ev="known", l=order["l"], known=known)
         elif order["op"] == "end":
             self.lag.close()
             self.world.close()
             self.recorder.close()
-            orders.tell(ev="ended")
+            orders.send_event(ev="ended")
             return False
         return True
 
 
 if __name__ == "__main__":
-    sys.exit(work("world", WorldWorker().take))
+    sys.exit(run_worker("world", WorldWorker().take))
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -39,7 +39,7 @@
         assert told == days.table(seed)
         assert plans.parse(days.written(told), "day") == plans.build(told, "day")
         seen |= {fault["do"] for fault in told["fault"]} | {f.get("mode") for f in told["fault"]}
-    assert set(plans.TAGS) | {"split", "snapshot", "silence", "garbage"} <= seen
+    assert set(plans.FAULT_TAGS) | {"split", "snapshot", "silence", "garbage"} <= seen
 
 
 def test_what_a_quota_may_be_passed_by_grows_with_what_hides_spends() -> None:
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -108,7 +108,7 @@
     assert "not UTF-8" in capsys.readouterr().err
 
 
-@pytest.mark.parametrize("name", plans.names())
+@pytest.mark.parametrize("name", plans.bundled_names())
 def test_bundled_plans_are_good_and_scale(name: str) -> None:
     plan = plans.load(name)
     short = plans.scaled(plan, 5.0)
@@ -127,9 +127,9 @@
 def test_ids_are_told_apart_and_read_back() -> None:
     ids = {draw.request_id(seed, n, k) for seed in (1, 2) for n in range(300) for k in range(3)}
     assert len(ids) == 1800 and all(re.fullmatch("[0-9a-f]{16}", id) for id in ids)
-    assert draw.request_of(7, draw.request_id(7, 123_456, 2)) == (123_456, 2)
-    assert draw.request_of(7, draw.request_id(8, 5, 0)) is None
-    assert draw.request_of(7, "no hex") is None
+    assert draw.decode_request_id(7, draw.request_id(7, 123_456, 2)) == (123_456, 2)
+    assert draw.decode_request_id(7, draw.request_id(8, 5, 0)) is None
+    assert draw.decode_request_id(7, "no hex") is None
 
 
 def test_work_has_the_mean_and_spread_of_the_plan() -> None:
@@ -151,6 +151,6 @@
 
 def test_a_share_of_the_servers_is_drawn_once_and_overlaps_only_if_it_must() -> None:
     plan = plans.load("evening")
-    killed, slow = draw.chosen(plan, 1, 0, (), 0.2), draw.chosen(plan, 1, 1, (), 0.2)
-    assert killed == draw.chosen(plan, 1, 0, (), 0.2)
+    killed, slow = draw.fault_targets(plan, 1, 0, (), 0.2), draw.fault_targets(plan, 1, 1, (), 0.2)
+    assert killed == draw.fault_targets(plan, 1, 0, (), 0.2)
     assert len(killed) == len(slow) == 2 and not set(killed) & set(slow)
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -23,7 +23,7 @@
 from hookport.rehearsal import PLAIN, RIVAL, Play, PlayError, command, judgement, mutants, page
 from hookport.rehearsal import plan as plans
 from hookport.rehearsal.fixtures import Rehearse
-from hookport.rehearsal.play import allow_files
+from hookport.rehearsal.play import raise_descriptor_limit
 
 REHEARSE = [sys.executable, "-m", "hookport", "rehearse"]
 
@@ -112,7 +112,7 @@
     assert rival.score.score > plain.score.score
 
 
-@pytest.mark.parametrize("name", mutants.SHORT)
+@pytest.mark.parametrize("name", mutants.QUICK_MUTANTS)
 def test_a_broken_limiter_is_caught_under_its_rule(
     name: str, rehearse: Rehearse, broken_limiter: Callable[[str], tuple[str, ...]]
 ) -> None:
@@ -212,13 +212,13 @@
 
 
 def test_a_limiter_that_never_gets_ready_is_told(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("hookport.rehearsal.play.READY_S", 1.5)
+    monkeypatch.setattr("hookport.rehearsal.play.READY_TIMEOUT_S", 1.5)
     told = play_fails(tiny(), (sys.executable, "-c", "import time; time.sleep(99)"), tmp_path)
     assert "was not ready after 1.5 s" in told
 
 
 def test_a_port_that_is_taken_is_told(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("hookport.rehearsal.play.own_host", lambda: "127.0.0.1")
+    monkeypatch.setattr("hookport.rehearsal.play.random_loopback_host", lambda: "127.0.0.1")
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
@@ -235,7 +235,7 @@
     limits = msgspec.structs.replace(tiny().limiters, count=32, sockets=65_536)
     plan = msgspec.structs.replace(tiny(), fleet=fleet, limiters=limits)
     with pytest.raises(PlayError, match=r"the plan needs \d+ descriptors, \d+ are allowed"):
-        allow_files(plan)
+        raise_descriptor_limit(plan)
 
 
 def test_a_limiter_that_dies_in_the_evening_is_a_breach_and_started_again(rehearse: Rehearse) -> None:
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -11,7 +11,7 @@
 import pytest
 import uvloop
 
-from hookport.rehearsal.loops import Place, free_ports, own_host
+from hookport.rehearsal.runtime import Environment, free_ports, random_loopback_host
 from hookport.rehearsal.scripted import Client, until, within_timeout
 from hookport.rehearsal.standins import Agent, Counter, DatagramRelay, Fleet, Model, Proxy, Server
 from hookport.rehearsal.standins.server import RequestSpec
@@ -24,7 +24,7 @@
 
 
 async def connect(port: int) -> Client:
-    return Client(*await asyncio.open_connection(Place.host, port))
+    return Client(*await asyncio.open_connection(Environment.host, port))
 
 
 class ServerBench:
@@ -315,7 +315,7 @@
         loop = asyncio.get_running_loop()
         mailboxes = [Mailbox() for _ in range(3)]
         sockets = [
-            (await loop.create_datagram_endpoint(lambda b=b: b, (Place.host, 0)))[0] for b in mailboxes
+            (await loop.create_datagram_endpoint(lambda b=b: b, (Environment.host, 0)))[0] for b in mailboxes
         ]
         lost = {2}
         relay = DatagramRelay(
@@ -422,7 +422,7 @@
 
     @classmethod
     async def open(cls, port: int, index: int = 0) -> "WatchClient":
-        reader, writer = await asyncio.open_connection(Place.host, port)
+        reader, writer = await asyncio.open_connection(Environment.host, port)
         writer.write(b"GET /v1/endpoints?stream=1&index=%d HTTP/1.1\r\nHost: x\r\n\r\n" % index)
         assert b"200 OK" in await within_timeout(reader.readuntil(b"\r\n\r\n"))
         return cls(reader, writer)
@@ -513,7 +513,7 @@
 def test_a_request_that_discovery_does_not_know_gets_404() -> None:
     async def scenario() -> None:
         agent = add_agent(Fleet(), [])
-        reader, writer = await asyncio.open_connection(Place.host, await agent.start())
+        reader, writer = await asyncio.open_connection(Environment.host, await agent.start())
         writer.write(b"POST /v1/endpoints HTTP/1.1\r\n\r\n")
         assert b"404" in await within_timeout(reader.readline())
         agent.close()
@@ -532,10 +532,10 @@
             while line := await reader.readline():
                 writer.write(line)
 
-        self.server = await asyncio.start_server(echo_lines, Place.host, 0)
+        self.server = await asyncio.start_server(echo_lines, Environment.host, 0)
         port = self.server.sockets[0].getsockname()[1]
         proxy = Proxy(asyncio.get_running_loop(), lambda: port)
-        reader, writer = await asyncio.open_connection(Place.host, await proxy.start())
+        reader, writer = await asyncio.open_connection(Environment.host, await proxy.start())
         writer.write(b"first\n")
         assert await within_timeout(reader.readline()) == b"first\n"
         return proxy, reader, writer
@@ -599,7 +599,7 @@
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.read(1), 0.2)
         # A new connection is accepted, but nothing is forwarded.
-        other, second = await asyncio.open_connection(Place.host, proxy.port)
+        other, second = await asyncio.open_connection(Environment.host, proxy.port)
         second.write(b"x\n")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(other.read(1), 0.1)
@@ -613,7 +613,7 @@
 def test_proxy_refusal_leaves_open_connections_alone() -> None:
     async def check_refusal(proxy: Proxy, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         assert await within_timeout(reader.readline()) == b"0123456789\n"
-        other, second = await asyncio.open_connection(Place.host, proxy.port)
+        other, second = await asyncio.open_connection(Environment.host, proxy.port)
         with pytest.raises(ConnectionResetError):
             second.write(b"x\n")
             await within_timeout(other.read(1))
@@ -628,7 +628,7 @@
 
 
 def test_no_port_is_given_out_twice_and_each_run_has_its_own_address() -> None:
-    first = [port for port, _ in zip(free_ports(Place.host), range(300), strict=False)]
-    second = [port for port, _ in zip(free_ports(Place.host), range(300), strict=False)]
+    first = [port for port, _ in zip(free_ports(Environment.host), range(300), strict=False)]
+    second = [port for port, _ in zip(free_ports(Environment.host), range(300), strict=False)]
     assert not set(first) & set(second) and len({*first}) == 300
-    assert len({own_host() for _ in range(20)}) > 1
+    assert len({random_loopback_host() for _ in range(20)}) > 1
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -16,8 +16,8 @@
 from hookport.emulator.network import WINDOW_BYTES, Wire
 from hookport.rehearsal import command
 from hookport.rehearsal import plan as plans
-from hookport.rehearsal.loops import Place
 from hookport.rehearsal.play import Progress
+from hookport.rehearsal.runtime import Environment
 
 DIGEST = """
 import sys
@@ -84,7 +84,7 @@
     edges = []
     for seed in range(1, 9):
         with whole.virtual(seed):
-            edges.append(Place.unix_ns() // 10**9 % 60)
+            edges.append(Environment.unix_ns() // 10**9 % 60)
     assert len(set(edges)) > 4
 
 
@@ -308,5 +308,5 @@
     shown: list[float] = []
     progress = Progress()
     plan = plans.scaled(plans.load("calm"), 3.0)
-    whole.play_and_judge(plan, 1, None, progress, lambda: shown.append(progress.passed_s))
-    assert len(shown) > 20 and shown == sorted(shown) and progress.asked > 50
+    whole.play_and_judge(plan, 1, None, progress, lambda: shown.append(progress.elapsed_s))
+    assert len(shown) > 20 and shown == sorted(shown) and progress.requests > 50
