--- a/hookport/rehearsal/__init__.py
+++ b/hookport/rehearsal/__init__.py
@@ -1,8 +1,8 @@
-"""The test and rehearsal kit: a whole world on loopback, real limiters in it, and a referee.
+"""The rehearsal kit: runs real limiters against simulated peers on loopback and checks what they did.
 
-``Play`` plays a plan, ``judge_file`` judges its history; the stand-ins of ``hookport.rehearsal.standins``
-and the scripted peers of ``hookport.rehearsal.scripted`` serve tests by themselves.  The daemon imports none
-of this.
+``Play`` runs a plan and writes a history, ``judge_file`` checks a history against the rules and scores it.
+Tests also use the simulated peers of ``hookport.rehearsal.standins`` and the scripted peers of
+``hookport.rehearsal.scripted`` on their own. The daemon imports nothing from this package.
 """
 
 from hookport.rehearsal.history import HistoryError
