--- a/hookport/rehearsal/play.py
+++ b/hookport/rehearsal/play.py
@@ -1,7 +1,7 @@
-"""One evening: starts the world, the limiters and the desks, keeps them to the plan, ends all of them.
+"""The orchestrator of a run: starts the world, the limiters and the desks, follows the plan, ends them all.
 
-The processes are: this one, ``world`` (servers, counter, discovery, faults), ``desks`` (clients), one for
-each limiter, and a reaper that ends the others if this one is killed.
+The processes are this one, ``world`` (servers, counter, discovery, faults), ``desks`` (clients), one for each
+limiter, and a reaper that kills the others if this one is killed.
 """
 
 from __future__ import annotations
@@ -30,33 +30,34 @@
 from hookport.rehearsal.history import Recorder, merge
 from hookport.rehearsal.runtime import free_ports, random_loopback_host
 
-READY_TIMEOUT_S = 30.0  # for a process to be ready
-START_DELAY_S = 0.6  # between the last process being ready and the evening's start
-END_MARGIN_S = 0.5  # after the last deadline
-MAX_SHUTDOWN_S = 3.0  # after SIGTERM, or the longest deadline if that is shorter
-SHUTDOWN_MARGIN_S = 0.7  # and this much more
-PLANNED_STOP_NOTICE_S = 0.3  # after SIGTERM, for which new connections go on coming
+READY_TIMEOUT_S = 30.0  # Time for a process to become ready, or a worker to answer.
+START_DELAY_S = 0.6  # Time from the last process being ready to the start of the plan's timeline.
+END_MARGIN_S = 0.5  # Time after the last deadline for which the run waits for replies.
+# A limiter has from SIGTERM until the longest deadline, at most MAX_SHUTDOWN_S, and the margin more to exit.
+MAX_SHUTDOWN_S = 3.0
+SHUTDOWN_MARGIN_S = 0.7
+PLANNED_STOP_NOTICE_S = 0.3  # Time after SIGTERM until clients open no more connections to the limiter.
 USAGE_INTERVAL_S = 0.5
-RELAUNCH_ATTEMPTS = 4  # in a row, of a limiter that ends before it is ready
+RELAUNCH_ATTEMPTS = 4  # Consecutive starts of a limiter that exits before it is ready.
 PR_SET_PDEATHSIG = 1
 SPARE_DESCRIPTORS = 200
-LOG_TAIL_LINES = 6  # lines of a process's log that an error shows
+LOG_TAIL_LINES = 6  # Lines of a process's log that an error message contains.
 DAEMON = (sys.executable, "-m", "hookport")
 PLAIN = (sys.executable, "-m", "hookport.rehearsal.plain")
 RIVAL = (sys.executable, "-m", "hookport.rehearsal.rival")
 
 
-# The list of servers in the configuration of a limiter that is told of none.
+# The server list in the configuration of a limiter that starts without one.
 EMPTY_SERVER_LIST: dict[str, Any] = {"generation": 0, "reset": True, "instances": []}
 
 
 class PlayError(Exception):
-    """The evening could not be played; the text names the cause."""
+    """The run could not be completed; the message names the cause."""
 
 
 @dataclass(slots=True)
 class Progress:
-    """How far an evening is; ``note`` is the last thing that happened."""
+    """The progress of a run, for display."""
 
     stage: str = "starting"
     elapsed_s: float = 0.0
@@ -67,43 +68,45 @@
 
 
 def shutdown_timeout_s(plan: plans.Plan) -> float:
-    """Seconds after SIGTERM until SIGKILL, no sooner than the platform's."""
+    """Time from SIGTERM to SIGKILL, at least as long as the platform waits."""
     return min(plan.max_deadline_s, MAX_SHUTDOWN_S) + SHUTDOWN_MARGIN_S
 
 
 def descriptors_needed(plan: plans.Plan) -> int:
-    """Descriptors that the busiest of the kit's processes may need."""
+    """The largest number of file descriptors that one of the kit's processes may need."""
     listeners = plan.limiters.count * (plan.fleet.servers + 3)
     return listeners + plan.limiters.count * plan.limiters.sockets // 2 + SPARE_DESCRIPTORS
 
 
 def raise_descriptor_limit(plan: plans.Plan) -> None:
-    """Raise the soft limit on descriptors to what the plan needs; PlayError if the hard one forbids it."""
+    """Raise the soft limit on open files to what the plan needs.
+
+    Raises PlayError if the hard limit is lower."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    need = descriptors_needed(plan)
-    if hard != resource.RLIM_INFINITY and need > hard:
+    needed = descriptors_needed(plan)
+    if hard != resource.RLIM_INFINITY and needed > hard:
         raise PlayError(
-            f"the plan needs {need} descriptors, {hard} are allowed: raise 'ulimit -n', "
+            f"the plan needs {needed} descriptors, {hard} are allowed; raise 'ulimit -n', "
             "or lower fleet.servers, limiters.count or limiters.sockets"
         )
-    if soft != resource.RLIM_INFINITY and need > soft:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (need, hard))
+    if soft != resource.RLIM_INFINITY and needed > soft:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (needed, hard))
 
 
 def kill_with_parent(parent: int) -> Callable[[], None]:
-    """For a child before it starts: the kernel kills it when its parent dies, however that happens."""
+    """A ``preexec_fn`` that makes the kernel kill the child when its parent dies for whatever reason."""
 
-    def hold() -> None:
-        with contextlib.suppress(OSError, AttributeError):  # not Linux: the reaper alone has to do
+    def set_death_signal() -> None:
+        with contextlib.suppress(OSError, AttributeError):  # other systems than Linux rely on the reaper
             ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
         if os.getppid() != parent:
             os._exit(1)
 
-    return hold
+    return set_death_signal
 
 
 class Reaper:
-    """Tells the reaper's process what to end if this one is killed."""
+    """The reaper process, which cleans up if this process is killed."""
 
     def __init__(self) -> None:
         self.process: asyncio.subprocess.Process | None = None
@@ -113,9 +116,10 @@
             sys.executable, "-m", "hookport.rehearsal.reaper", stdin=asyncio.subprocess.PIPE
         )
 
-    def send(self, word: str, value: object) -> None:
+    def send(self, keyword: str, value: object) -> None:
+        """Send a line of the protocol that ``hookport.rehearsal.reaper`` describes."""
         if self.process and self.process.stdin and not self.process.stdin.is_closing():
-            self.process.stdin.write(f"{word} {value}\n".encode())
+            self.process.stdin.write(f"{keyword} {value}\n".encode())
 
     async def close(self) -> None:
         if self.process and self.process.stdin:
@@ -124,65 +128,69 @@
 
 
 class Worker:
-    """A process of the kit's own, with orders to it and events from it as JSON lines."""
+    """The world or the desks process: takes orders and sends events as JSON lines."""
 
-    def __init__(self, name: str, process: asyncio.subprocess.Process, log: Path) -> None:
-        self.name, self.process, self.log = name, process, log
+    def __init__(self, name: str, process: asyncio.subprocess.Process, log_path: Path) -> None:
+        self.name, self.process, self.log_path = name, process, log_path
 
-    def order(self, **told: Any) -> None:
+    def send_order(self, **order: Any) -> None:
         if self.process.stdin and not self.process.stdin.is_closing():
-            self.process.stdin.write(json.dumps(told).encode() + b"\n")
+            self.process.stdin.write(json.dumps(order).encode() + b"\n")
 
-    async def event(self) -> dict[str, Any]:
-        """The next event; PlayError when there is none any more."""
+    async def next_event(self) -> dict[str, Any]:
+        """The next event; raises PlayError if the process has failed or exited."""
         assert self.process.stdout
         line = await self.process.stdout.readline()
         if not line:
-            raise PlayError(f"the {self.name} process ended: {tail(self.log)}")
-        told: dict[str, Any] = json.loads(line)
-        if told["ev"] == "failed":
-            raise PlayError(told["why"])
-        return told
-
-    async def wait_for(self, kind: str, wait_s: float = READY_TIMEOUT_S) -> dict[str, Any]:
+            raise PlayError(f"the {self.name} process exited: {log_tail(self.log_path)}")
+        event: dict[str, Any] = json.loads(line)
+        if event["ev"] == "failed":
+            raise PlayError(event["why"])
+        return event
+
+    async def wait_for(self, event_name: str, timeout_s: float = READY_TIMEOUT_S) -> dict[str, Any]:
+        """The next event of that name; raises PlayError after ``timeout_s``."""
         try:
-            async with asyncio.timeout(wait_s):
-                while (told := await self.event())["ev"] != kind:
+            async with asyncio.timeout(timeout_s):
+                while (event := await self.next_event())["ev"] != event_name:
                     pass
         except TimeoutError:
-            raise PlayError(f"the {self.name} process said nothing for {wait_s:g} s") from None
-        return told
+            raise PlayError(f"the {self.name} process did not respond within {timeout_s:g} s") from None
+        return event
 
 
 @dataclass(slots=True)
-class Life:
-    """One limiter, over all its processes."""
+class ManagedLimiter:
+    """One limiter with its present process and the figures of its earlier ones."""
 
     number: int
     port: int
-    config: Path
-    log: Path
+    config_path: Path
+    log_path: Path
     process: asyncio.subprocess.Process | None = None
-    count: int = 0  # of processes so far
+    start_count: int = 0
     stopping: bool = False
     ready: bool = False
-    cpu_s: float = 0.0  # of processes that have ended
-    now_s: float = 0.0  # of the present one
-    told: dict[str, Any] = field(default_factory=dict)
-    known: asyncio.Event = field(default_factory=asyncio.Event)  # the list of servers for its next start
+    past_cpu_s: float = 0.0  # CPU time of the processes that have exited
+    current_cpu_s: float = 0.0  # CPU time of the present process
+    config: dict[str, Any] = field(default_factory=dict)
+    # Set when the server list for the next start has arrived in ``config``.
+    list_received: asyncio.Event = field(default_factory=asyncio.Event)
 
 
-def tail(path: Path) -> str:
-    """The last lines of a log, as one line."""
+def log_tail(path: Path) -> str:
+    """The last lines of a log file, joined into one."""
     try:
         lines = path.read_text(errors="replace").splitlines()[-LOG_TAIL_LINES:]
     except OSError:
-        return "no log"
-    return " | ".join(line.strip()[:200] for line in lines if line.strip()) or "it said nothing"
+        return "no log file"
+    return " | ".join(line.strip()[:200] for line in lines if line.strip()) or "the log is empty"
 
 
 class Play:
-    """One evening from start to the merged history; ``close`` leaves nothing behind, whatever happened."""
+    """One run of a plan, from the start of its processes to the merged history.
+
+    ``run`` ends its processes and removes its files in any case."""
 
     def __init__(
         self,
@@ -197,21 +205,21 @@
         self.folder = Path()
         self.reaper = Reaper()
         self.workers: dict[str, Worker] = {}
-        self.lives: list[Life] = []
-        self.children: list[asyncio.subprocess.Process] = []
+        self.limiters: list[ManagedLimiter] = []
+        self.processes: list[asyncio.subprocess.Process] = []
         self.recorder: Recorder | None = None
         self.tasks: set[asyncio.Task[None]] = set()
-        self.failed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.failure: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.start_ns = 0
         self.digest = ""
-        self.open = 1
+        self.open_requests = 1
 
     async def run(self, history: Path) -> None:
-        """Play the evening and write its history; raises PlayError."""
+        """Run the plan and write its history; raises PlayError."""
         raise_descriptor_limit(self.plan)
         try:
             await self.start()
-            await self.evening()
+            await self.run_timeline()
             await self.finish(history)
         except OSError as error:
             raise PlayError(f"{error.strerror or error}") from error
@@ -228,20 +236,22 @@
         self.recorder = Recorder(self.folder / "main.part")
         ports = self.limiter_ports()
         free = free_ports(self.host)
-        words = [next(free) for _ in ports] if plan.peers.allowed else []
-        told_plan = msgspec.to_builtins(plan)
-        world = await self.worker("world")
-        world.order(op="start", plan=told_plan, seed=self.seed, part=str(self.folder / "world.part"),
-                    limiters=ports, words=words, host=self.host)  # fmt: skip
-        places = await world.wait_for("ready")
+        peer_ports = [next(free) for _ in ports] if plan.peers.allowed else []
+        plan_table = msgspec.to_builtins(plan)
+        world = await self.start_worker("world")
+        world.send_order(op="start", plan=plan_table, seed=self.seed, part=str(self.folder / "world.part"),
+                         limiters=ports, words=peer_ports, host=self.host)  # fmt: skip
+        addresses = await world.wait_for("ready")
         for number, port in enumerate(ports):
-            life = Life(number, port, self.folder / f"n{number}.json", self.folder / f"n{number}.log")
-            life.told = plans.limiter_config(plan, self.seed, number, self.host, port, places)
-            self.lives.append(life)
-        await asyncio.gather(*(self.launch(life) for life in self.lives))
-        desks = await self.worker("desks")
-        desks.order(op="start", plan=told_plan, seed=self.seed, part=str(self.folder / "desks.part"),
-                    ports=places["fronts"], host=self.host)  # fmt: skip
+            limiter = ManagedLimiter(
+                number, port, self.folder / f"n{number}.json", self.folder / f"n{number}.log"
+            )
+            limiter.config = plans.limiter_config(plan, self.seed, number, self.host, port, addresses)
+            self.limiters.append(limiter)
+        await asyncio.gather(*(self.start_limiter(limiter) for limiter in self.limiters))
+        desks = await self.start_worker("desks")
+        desks.send_order(op="start", plan=plan_table, seed=self.seed, part=str(self.folder / "desks.part"),
+                         ports=addresses["fronts"], host=self.host)  # fmt: skip
         ready = await desks.wait_for("ready")
         self.digest = ready["digest"]
 
@@ -252,74 +262,75 @@
         free = free_ports(self.host)
         return [next(free) for _ in range(count)]
 
-    async def child(self, *words: str, **more: Any) -> asyncio.subprocess.Process:
+    async def start_process(self, *command: str, **options: Any) -> asyncio.subprocess.Process:
         process = await asyncio.create_subprocess_exec(
-            *words, start_new_session=True, preexec_fn=kill_with_parent(os.getpid()), **more
+            *command, start_new_session=True, preexec_fn=kill_with_parent(os.getpid()), **options
         )
-        self.children.append(process)
+        self.processes.append(process)
         self.reaper.send("pid", process.pid)
         return process
 
-    async def worker(self, name: str) -> Worker:
-        log = self.folder / f"{name}.log"
-        with open(log, "wb") as errors:
-            process = await self.child(
+    async def start_worker(self, name: str) -> Worker:
+        log_path = self.folder / f"{name}.log"
+        with open(log_path, "wb") as log:
+            process = await self.start_process(
                 sys.executable, "-m", f"hookport.rehearsal.{name}",
-                stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=errors, limit=1 << 24,
+                stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=log, limit=1 << 24,
             )  # fmt: skip
-        self.workers[name] = Worker(name, process, log)
+        self.workers[name] = Worker(name, process, log_path)
         return self.workers[name]
 
-    async def launch(self, life: Life) -> None:
+    async def start_limiter(self, limiter: ManagedLimiter) -> None:
         """Start a limiter and wait until it answers PING."""
-        life.config.write_text(json.dumps(life.told))
-        environ = {**os.environ, "PROXY_CONFIG": str(life.config)}
+        limiter.config_path.write_text(json.dumps(limiter.config))
+        environ = {**os.environ, "PROXY_CONFIG": str(limiter.config_path)}
         for name in ("PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "HOOKPORT_OPTIONS"):
             environ.pop(name, None)
         if self.plan.limiters.kept_list:
-            options = self.folder / "options.json"
-            keeps = {"path": f"{self.folder}/{{name}}.kept", "fleet": "rehearsal", "write_s": 0.5}
-            options.write_text(json.dumps({"membership": keeps}))
-            environ["HOOKPORT_OPTIONS"] = str(options)
-        with open(life.log, "ab") as log:
+            options_path = self.folder / "options.json"
+            membership = {"path": f"{self.folder}/{{name}}.kept", "fleet": "rehearsal", "write_s": 0.5}
+            options_path.write_text(json.dumps({"membership": membership}))
+            environ["HOOKPORT_OPTIONS"] = str(options_path)
+        with open(limiter.log_path, "ab") as log:
             try:
-                life.process = await self.child(
+                limiter.process = await self.start_process(
                     *self.command, env=environ, stdin=asyncio.subprocess.DEVNULL, stdout=log, stderr=log
                 )
             except OSError as error:
-                words = shlex.join(self.command)
-                raise PlayError(f"limiter {life.number} cannot be started: {words}: {error}") from error
-        life.count += 1
-        life.stopping, life.ready, life.now_s = False, False, 0.0
-        ends = time.monotonic() + READY_TIMEOUT_S
-        while not await self.answers(life.port):
-            if life.process.returncode is not None:
+                command = shlex.join(self.command)
+                raise PlayError(f"limiter {limiter.number} cannot be started: {command}: {error}") from error
+        limiter.start_count += 1
+        limiter.stopping, limiter.ready, limiter.current_cpu_s = False, False, 0.0
+        deadline_s = time.monotonic() + READY_TIMEOUT_S
+        while not await self.answers_ping(limiter.port):
+            if limiter.process.returncode is not None:
                 raise PlayError(
-                    f"limiter {life.number} ended with status {life.process.returncode} before it was ready "
-                    f"on {self.host}:{life.port}: {tail(life.log)}"
+                    f"limiter {limiter.number} ended with status {limiter.process.returncode} "
+                    f"before it was ready on {self.host}:{limiter.port}: {log_tail(limiter.log_path)}"
                 )
-            if time.monotonic() > ends:
+            if time.monotonic() > deadline_s:
                 raise PlayError(
-                    f"limiter {life.number} was not ready after {READY_TIMEOUT_S:g} s: {tail(life.log)}"
+                    f"limiter {limiter.number} was not ready after {READY_TIMEOUT_S:g} s: "
+                    f"{log_tail(limiter.log_path)}"
                 )
             await asyncio.sleep(0.02)
-        life.ready = True
-        self.limiter(life, "ready")
+        limiter.ready = True
+        self.write_limiter_row(limiter, "ready")
 
-    async def relaunch(self, life: Life) -> None:
-        """Start a limiter anew; one that ends before it is ready is tried again, a few times."""
-        for left in reversed(range(RELAUNCH_ATTEMPTS)):
+    async def restart_limiter(self, limiter: ManagedLimiter) -> None:
+        """Start a limiter again, up to RELAUNCH_ATTEMPTS times if it exits before it is ready."""
+        for attempts_left in reversed(range(RELAUNCH_ATTEMPTS)):
             try:
-                return await self.launch(life)
+                return await self.start_limiter(limiter)
             except PlayError:
-                code = life.process.returncode if life.process else None
-                if not left or code is None:
+                code = limiter.process.returncode if limiter.process else None
+                if not attempts_left or code is None:
                     raise
-                self.limiter(life, "gone", code=code)
+                self.write_limiter_row(limiter, "gone", code=code)
                 await asyncio.sleep(0.5)
 
-    async def answers(self, port: int) -> bool:
-        """Whether a limiter answers PING; a stranger on its port does not count."""
+    async def answers_ping(self, port: int) -> bool:
+        """Whether a limiter answers PING on the port; another program that listens there does not count."""
         try:
             async with asyncio.timeout(1.0):
                 reader, writer = await asyncio.open_connection(self.host, port)
@@ -331,210 +342,223 @@
         except (OSError, TimeoutError):
             return False
 
-    def limiter(self, life: Life, what: str, **more: Any) -> None:
-        self.note({"e": "limiter", "l": life.number, "what": what, "p": life.count, **more})
+    def write_limiter_row(self, limiter: ManagedLimiter, event: str, **fields: Any) -> None:
+        self.write_row(
+            {"e": "limiter", "l": limiter.number, "what": event, "p": limiter.start_count, **fields}
+        )
 
-    def note(self, row: dict[str, Any]) -> None:
+    def write_row(self, row: dict[str, Any]) -> None:
         if self.recorder:
             self.recorder.record({"t": time.monotonic_ns(), **row})
 
-    # The evening
+    # Timeline
 
-    async def evening(self) -> None:
+    async def run_timeline(self) -> None:
         world, desks = self.workers["world"], self.workers["desks"]
         self.start_ns = time.monotonic_ns() + round(START_DELAY_S * 1e9)
         for worker in (world, desks):
-            worker.order(op="go", start_ns=self.start_ns)
+            worker.send_order(op="go", start_ns=self.start_ns)
         self.progress.stage = "playing"
-        for call in (self.follow(world), self.follow(desks), self.sample()):
-            self.spawn(call)
-        for life in self.lives:
-            self.spawn(self.guard(life))
+        for coroutine in (self.handle_events(world), self.handle_events(desks), self.sample_usage()):
+            self.spawn_task(coroutine)
+        for limiter in self.limiters:
+            self.spawn_task(self.watch_exit(limiter))
         length_s = self.plan.length_s + self.plan.max_deadline_s + END_MARGIN_S
-        ends_ns = self.start_ns + round(length_s * 1e9)
-        earliest_ns = self.start_ns + round((self.plan.length_s + END_MARGIN_S) * 1e9)
-        while (now_ns := time.monotonic_ns()) < ends_ns and not (now_ns > earliest_ns and not self.open):
+        end_ns = self.start_ns + round(length_s * 1e9)
+        earliest_end_ns = self.start_ns + round((self.plan.length_s + END_MARGIN_S) * 1e9)
+        while (now_ns := time.monotonic_ns()) < end_ns and not (
+            now_ns > earliest_end_ns and not self.open_requests
+        ):
             self.progress.elapsed_s = max(0.0, (now_ns - self.start_ns) / 1e9)
-            await asyncio.wait({self.failed}, timeout=0.1)
-            if self.failed.done():
-                self.failed.result()
+            await asyncio.wait({self.failure}, timeout=0.1)
+            if self.failure.done():
+                self.failure.result()
 
-    def spawn(self, call: Any) -> None:
-        task: asyncio.Task[None] = asyncio.get_running_loop().create_task(call)
+    def spawn_task(self, coroutine: Any) -> None:
+        task: asyncio.Task[None] = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self.over)
+        task.add_done_callback(self.on_task_done)
 
-    def over(self, task: asyncio.Task[None]) -> None:
+    def on_task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
-        if not task.cancelled() and (error := task.exception()) and not self.failed.done():
-            self.failed.set_exception(error)
+        if not task.cancelled() and (error := task.exception()) and not self.failure.done():
+            self.failure.set_exception(error)
 
-    async def follow(self, worker: Worker) -> None:
-        """Take a worker's events until it has ended."""
+    async def handle_events(self, worker: Worker) -> None:
+        """Handle a worker's events until its ``ended`` event."""
         while True:
-            told = await worker.event()
-            if told["ev"] == "beat":
-                self.progress.requests, self.progress.served = told["asked"], told["served"]
-                self.progress.refused, self.open = told["refused"], told["open"]
-            elif told["ev"] == "fault":
-                self.progress.last_event = told["text"]
-            elif told["ev"] == "limiter":
-                self.spawn(self.signal(self.lives[told["l"]], told))
-            elif told["ev"] == "known":
-                self.lives[told["l"]].told["known"] = told["known"]
-                self.lives[told["l"]].known.set()
-            elif told["ev"] == "ended":
+            event = await worker.next_event()
+            if event["ev"] == "beat":
+                self.progress.requests, self.progress.served = event["asked"], event["served"]
+                self.progress.refused, self.open_requests = event["refused"], event["open"]
+            elif event["ev"] == "fault":
+                self.progress.last_event = event["text"]
+            elif event["ev"] == "limiter":
+                self.spawn_task(self.apply_signal(self.limiters[event["l"]], event))
+            elif event["ev"] == "known":
+                self.limiters[event["l"]].config["known"] = event["known"]
+                self.limiters[event["l"]].list_received.set()
+            elif event["ev"] == "ended":
                 return
 
-    async def signal(self, life: Life, told: dict[str, Any]) -> None:
-        """What the timeline does to a limiter."""
-        process, what = life.process, told["signal"]
-        if process is None or process.returncode is not None or life.stopping:
+    async def apply_signal(self, limiter: ManagedLimiter, event: dict[str, Any]) -> None:
+        """Send a limiter the signal of a fault, and restart it after TERM and KILL."""
+        process, signal_name = limiter.process, event["signal"]
+        if process is None or process.returncode is not None or limiter.stopping:
             return
-        if what == "HUP":
+        if signal_name == "HUP":
             for name in ("discovery", "counter"):
-                life.told[name] = f"{self.host}:{told[name]}"
-            new = life.config.with_suffix(".new")
-            new.write_text(json.dumps(life.told))
-            new.replace(life.config)
-            self.limiter(life, "hup")
+                limiter.config[name] = f"{self.host}:{event[name]}"
+            new_config = limiter.config_path.with_suffix(".new")
+            new_config.write_text(json.dumps(limiter.config))
+            new_config.replace(limiter.config_path)
+            self.write_limiter_row(limiter, "hup")
             process.send_signal(signal.SIGHUP)
             return
-        if what == "STOP":
-            self.limiter(life, "stop")
-            until_ns = time.monotonic_ns() + round((told["back_s"] + 1) * 1e9)
-            self.note({"e": "excuse", "l": life.number, "until": until_ns})
+        if signal_name == "STOP":
+            self.write_limiter_row(limiter, "stop")
+            until_ns = time.monotonic_ns() + round((event["back_s"] + 1) * 1e9)
+            self.write_row({"e": "excuse", "l": limiter.number, "until": until_ns})
             process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(told["back_s"])
+            await asyncio.sleep(event["back_s"])
             process.send_signal(signal.SIGCONT)
-            self.limiter(life, "cont")
+            self.write_limiter_row(limiter, "cont")
             return
-        life.stopping = True
-        planned = what == "TERM"
+        limiter.stopping = True
+        planned = signal_name == "TERM"
         if planned:
-            self.limiter(life, "term")
+            self.write_limiter_row(limiter, "term")
             process.terminate()
-            await self.end_in_time(life, process, PLANNED_STOP_NOTICE_S)
+            await self.await_shutdown(limiter, process, PLANNED_STOP_NOTICE_S)
         else:
-            self.limiter(life, "kill")
+            self.write_limiter_row(limiter, "kill")
             process.kill()
-            self.tell_desks(life, False, False)
+            self.notify_desks(limiter, False, False)
             await process.wait()
-        life.known.clear()
-        await asyncio.sleep(told["back_s"])
+        limiter.list_received.clear()
+        await asyncio.sleep(event["back_s"])
         if self.plan.limiters.known == "none":
-            life.told["known"] = EMPTY_SERVER_LIST
+            limiter.config["known"] = EMPTY_SERVER_LIST
         else:
-            self.workers["world"].order(op="known", l=life.number)
-            await asyncio.wait_for(life.known.wait(), READY_TIMEOUT_S)
-        life.cpu_s += life.now_s
-        await self.relaunch(life)
-        self.tell_desks(life, True, True)
-        self.spawn(self.guard(life))
-
-    async def end_in_time(self, life: Life, process: asyncio.subprocess.Process, planned_s: float) -> None:
-        """Wait for the end after SIGTERM, or bring it about."""
-        wait_s = shutdown_timeout_s(self.plan)
-        asyncio.get_running_loop().call_later(planned_s, self.tell_desks, life, False, True)
+            self.workers["world"].send_order(op="known", l=limiter.number)
+            await asyncio.wait_for(limiter.list_received.wait(), READY_TIMEOUT_S)
+        limiter.past_cpu_s += limiter.current_cpu_s
+        await self.restart_limiter(limiter)
+        self.notify_desks(limiter, True, True)
+        self.spawn_task(self.watch_exit(limiter))
+
+    async def await_shutdown(
+        self, limiter: ManagedLimiter, process: asyncio.subprocess.Process, notice_s: float
+    ) -> None:
+        """Wait until a limiter exits after SIGTERM, and kill it if it takes too long.
+
+        The desks stop using it after ``notice_s``."""
+        timeout_s = shutdown_timeout_s(self.plan)
+        asyncio.get_running_loop().call_later(notice_s, self.notify_desks, limiter, False, True)
         try:
-            code = await asyncio.wait_for(process.wait(), wait_s)
-            self.limiter(life, "exit", code=code)
+            code = await asyncio.wait_for(process.wait(), timeout_s)
+            self.write_limiter_row(limiter, "exit", code=code)
         except TimeoutError:
-            self.limiter(life, "overdue")
+            self.write_limiter_row(limiter, "overdue")
             process.kill()
             await process.wait()
 
-    def tell_desks(self, life: Life, up: bool, planned: bool) -> None:
+    def notify_desks(self, limiter: ManagedLimiter, up: bool, planned: bool) -> None:
         if desks := self.workers.get("desks"):
-            desks.order(op="limiter", l=life.number, up=up, p=life.count, planned=planned)
+            desks.send_order(op="limiter", l=limiter.number, up=up, p=limiter.start_count, planned=planned)
 
-    async def guard(self, life: Life) -> None:
-        """Note a limiter that ends unasked; it is started again, as the platform would."""
-        process = life.process
+    async def watch_exit(self, limiter: ManagedLimiter) -> None:
+        """Record a limiter that exits without a signal of the plan; restart it, as the platform would."""
+        process = limiter.process
         if process is None:
             return
         code = await process.wait()
-        if life.stopping:
+        if limiter.stopping:
             return
-        life.stopping = True
-        self.limiter(life, "gone", code=code)
-        self.progress.last_event = f"limiter {life.number} ended by itself: {tail(life.log)[:80]}"
-        self.tell_desks(life, False, False)
+        limiter.stopping = True
+        self.write_limiter_row(limiter, "gone", code=code)
+        self.progress.last_event = (
+            f"limiter {limiter.number} exited unexpectedly: {log_tail(limiter.log_path)[:80]}"
+        )
+        self.notify_desks(limiter, False, False)
         await asyncio.sleep(1.0)
-        life.cpu_s += life.now_s
-        await self.relaunch(life)
-        self.tell_desks(life, True, True)
-        self.spawn(self.guard(life))
-
-    async def sample(self) -> None:
-        """CPU and memory of each limiter, with the processes that it started."""
-        last_s = time.monotonic()
+        limiter.past_cpu_s += limiter.current_cpu_s
+        await self.restart_limiter(limiter)
+        self.notify_desks(limiter, True, True)
+        self.spawn_task(self.watch_exit(limiter))
+
+    async def sample_usage(self) -> None:
+        """Record the CPU time and memory of each limiter with its child processes."""
+        last_sample_s = time.monotonic()
         while True:
-            for life in self.lives:
-                if life.process is None or life.process.returncode is not None:
+            for limiter in self.limiters:
+                if limiter.process is None or limiter.process.returncode is not None:
                     continue
                 try:
-                    root = psutil.Process(life.process.pid)
-                    family = [root, *root.children(recursive=True)]
-                    times = [p.cpu_times() for p in family]
-                    rss = sum(p.memory_info().rss for p in family)
+                    root = psutil.Process(limiter.process.pid)
+                    processes = [root, *root.children(recursive=True)]
+                    times = [p.cpu_times() for p in processes]
+                    rss = sum(p.memory_info().rss for p in processes)
                 except psutil.Error:
-                    continue  # it ended in between: what it used so far is noted
-                life.now_s = sum(t.user + t.system for t in times)
-                self.note({"e": "usage", "l": life.number, "cpu_s": round(life.cpu_s + life.now_s, 3),
-                           "rss_mb": round(rss / (1 << 20), 2), "p": life.count})  # fmt: skip
+                    continue  # It exited meanwhile; the last sample remains.
+                limiter.current_cpu_s = sum(t.user + t.system for t in times)
+                self.write_row({"e": "usage", "l": limiter.number,
+                                "cpu_s": round(limiter.past_cpu_s + limiter.current_cpu_s, 3),
+                                "rss_mb": round(rss / (1 << 20), 2), "p": limiter.start_count})  # fmt: skip
             await asyncio.sleep(USAGE_INTERVAL_S)
             now_s = time.monotonic()
-            held_ms = (now_s - last_s - USAGE_INTERVAL_S) * 1000
-            last_s = now_s
-            if held_ms > 150:
-                self.note({"e": "lag", "who": "main", "ms": round(held_ms, 1)})
+            lag_ms = (now_s - last_sample_s - USAGE_INTERVAL_S) * 1000
+            last_sample_s = now_s
+            if lag_ms > 150:
+                self.write_row({"e": "lag", "who": "main", "ms": round(lag_ms, 1)})
 
-    # The end
+    # End
 
     async def finish(self, history: Path) -> None:
         self.progress.stage = "ending"
-        for task in list(self.tasks):  # no limiter is started or signalled any more
+        for task in list(self.tasks):  # from here on no limiter is started or signalled
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        ending = []
-        for life in self.lives:
-            process = life.process
+        shutdowns = []
+        for limiter in self.limiters:
+            process = limiter.process
             if process is None or process.returncode is not None:
                 continue
-            if not life.ready or life.stopping:  # in the middle of a restart: its end tells nothing
+            if not limiter.ready or limiter.stopping:  # it is being restarted, so its exit is not evaluated
                 process.kill()
                 continue
-            life.stopping = True
-            self.limiter(life, "term")
+            limiter.stopping = True
+            self.write_limiter_row(limiter, "term")
             process.terminate()
-            ending.append(self.end_in_time(life, process, 0.0))
-        await asyncio.gather(*ending)
+            shutdowns.append(self.await_shutdown(limiter, process, 0.0))
+        await asyncio.gather(*shutdowns)
         for worker in self.workers.values():
-            worker.order(op="end")
+            worker.send_order(op="end")
         for worker in self.workers.values():
             try:
                 await asyncio.wait_for(worker.process.wait(), READY_TIMEOUT_S)
             except TimeoutError:
-                raise PlayError(f"the {worker.name} process did not end: {tail(worker.log)}") from None
+                raise PlayError(
+                    f"the {worker.name} process did not exit: {log_tail(worker.log_path)}"
+                ) from None
         if self.recorder:
             self.recorder.close()
         head = {"plan": msgspec.to_builtins(self.plan), "seed": self.seed, "digest": self.digest,
                 "command": " ".join(self.command[1:]) or self.command[0]}  # fmt: skip
-        parts = [self.folder / f"{name}.part" for name in ("main", "world", "desks")]
-        await asyncio.to_thread(merge, head, parts, self.start_ns, history)
+        part_paths = [self.folder / f"{name}.part" for name in ("main", "world", "desks")]
+        await asyncio.to_thread(merge, head, part_paths, self.start_ns, history)
 
     async def close(self) -> None:
-        """End and reap all that was started; remove the folder."""
+        """Kill the remaining processes, wait for all of them and remove the folder."""
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        if self.failed.done():
-            self.failed.exception()  # told already, or the play ended first
-        for process in self.children:
+        if self.failure.done():
+            self.failure.exception()  # reported already; retrieved so that asyncio does not warn
+        for process in self.processes:
             if process.returncode is None:
                 process.kill()
-        for process in self.children:
+        for process in self.processes:
             await process.wait()
             self.reaper.send("done", process.pid)
         if self.recorder:
