--- a/hookport/rehearsal/fixtures.py
+++ b/hookport/rehearsal/fixtures.py
@@ -1,8 +1,8 @@
-"""Pytest fixtures over the kit; load them with ``pytest_plugins = ["hookport.rehearsal.fixtures"]``.
+"""Pytest fixtures of the rehearsal kit; load them with ``pytest_plugins = ["hookport.rehearsal.fixtures"]``.
 
-``rehearse``       play a plan (a bundled name, a path or a Plan) with the daemon or another command and
-                   return its Judgement; what the machine was too busy for is played once more
-``broken_limiter`` the command of one of the kit's mutants
+``rehearse``       run a plan (a bundled name, a path or a Plan) with the daemon or another command and return
+                   its Judgement; a run that is void because the machine was too busy is repeated once
+``broken_limiter`` the command that starts the mutant of a given name
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from hookport.rehearsal.plan import Plan, load
 from hookport.rehearsal.play import DAEMON, Play
 
-TRIES = 2
+MAX_RUNS = 2
 
 
 class Rehearse(Protocol):
@@ -29,18 +29,18 @@
 @pytest.fixture
 def rehearse(tmp_path: Path) -> Rehearse:
     def play(plan: Plan | str, seed: int = 1, command: Sequence[str] = DAEMON) -> Judgement:
-        told = load(plan) if isinstance(plan, str) else plan
-        for turn in range(TRIES):
-            kept = tmp_path / f"history-{turn}.jsonl"
+        loaded_plan = load(plan) if isinstance(plan, str) else plan
+        for attempt in range(MAX_RUNS):
+            history = tmp_path / f"history-{attempt}.jsonl"
 
-            async def evening(kept: Path = kept) -> None:
-                await Play(told, seed, command).run(kept)
+            async def run(history: Path = history) -> None:
+                await Play(loaded_plan, seed, command).run(history)
 
-            asyncio.run(evening())
-            judged = judge_file(kept)
-            if not judged.void:
+            asyncio.run(run())
+            judgement = judge_file(history)
+            if not judgement.void:
                 break
-        return judged
+        return judgement
 
     return play
 
--- a/hookport/rehearsal/mutants.py
+++ b/hookport/rehearsal/mutants.py
@@ -1,8 +1,8 @@
-"""Broken limiters: the real daemon with one thing done wrong, to see that the referee bites.
+"""Mutants: the daemon with one defect each, to test that the referee detects it.
 
-``python -m hookport.rehearsal.mutants NAME`` runs one in the daemon's place.  Each is told with the rule
-under which it must be caught; a change of the daemon that takes a mutant's handle away ends that mutant with
-an AttributeError instead of letting it pass for healthy.
+``python -m hookport.rehearsal.mutants NAME`` runs a mutant in place of the daemon. Each names the rule that
+it must break. A mutant patches functions of the daemon by name: when such a function is gone, the mutant
+fails with an AttributeError instead of running without its defect.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from hookport import __main__ as daemon
 from hookport import clients, node, resp, servers
 
-ONE_IN = 25  # requests that a now-and-then mutant spoils
-LEAK_BYTES = 200_000
-CHANCE = random.Random(7)
+REQUESTS_PER_FAULT = 25  # Mutants with occasional faults spoil one request in so many.
+LEAKED_BYTES_PER_REQUEST = 200_000
+RNG = random.Random(7)
 ApplyMutant = Callable[[], None]
 
 
 class Mutant(NamedTuple):
-    """One broken limiter: what it does and the rule under which that is caught."""
+    """A broken limiter: the rule that it must break, and the function that applies its defect."""
 
     rule: str
     description: str
@@ -35,20 +35,21 @@
 
 
 def patch(owner: Any, name: str, make: Callable[[Any], Any]) -> None:
-    """Put ``make(old)`` in the place of ``owner.name``, which must be there."""
+    """Replace ``owner.name``, which must exist, by ``make`` of its old value."""
     setattr(owner, name, make(getattr(owner, name)))
 
 
-def now_and_then() -> bool:
-    return CHANCE.randrange(ONE_IN) == 0
+def draw_fault() -> bool:
+    """Whether this request gets a fault, drawn at random."""
+    return RNG.randrange(REQUESTS_PER_FAULT) == 0
 
 
 def sends_again() -> None:
-    """A claim whose attempt failed or timed out is taken for never run and sent again."""
-    setattr(policy, "NEVER_EXECUTED", tuple(api.Outcome))  # noqa: B010 - the type says three of them
+    """Sends a claim again after a failure or timeout, as if it had not run."""
+    setattr(policy, "NEVER_EXECUTED", tuple(api.Outcome))  # noqa: B010 - its type is a tuple of three outcomes
 
 
-def refuses_what_may_have_run() -> None:
+def refuses_requests_that_may_have_run() -> None:
     def make(old: Any) -> Any:
         def refuse(self: Any, work: Any, wait_ns: int) -> None:
             for attempt in work.attempts:
@@ -61,19 +62,19 @@
 
 
 def sends_two_copies() -> None:
-    """Every attempt goes out twice, to the same server."""
+    """Sends some attempts twice, to the same server."""
 
     def make(old: Any) -> Any:
         def send(self: Any, action: api.Send) -> None:
             old(self, action)
-            if action.request_id in self.open_requests and now_and_then():
+            if action.request_id in self.open_requests and draw_fault():
                 request = self.open_requests[action.request_id]
-                twin = servers.Attempt(0, 99, action.server, request.command.forward(500), self.now_ns())
-                self.servers.send(twin)
+                duplicate = servers.Attempt(0, 99, action.server, request.command.forward(500), self.now_ns())
+                self.servers.send(duplicate)
 
         return send
 
-    def ended(old: Any) -> Any:
+    def ignore_duplicate(old: Any) -> Any:
         def attempt_ended(self: Any, attempt: Any, outcome: Any, value: bytes) -> None:
             if attempt.number != 99:
                 old(self, attempt, outcome, value)
@@ -81,13 +82,13 @@
         return attempt_ended
 
     patch(node.Node, "send", make)
-    patch(node.Node, "attempt_ended", ended)
+    patch(node.Node, "attempt_ended", ignore_duplicate)
 
 
 def answers_twice() -> None:
     def make(old: Any) -> Any:
         def complete(self: Any, reply: bytes) -> None:
-            old(self, reply + reply if now_and_then() and reply.startswith(b"$") else reply)
+            old(self, reply + reply if draw_fault() and reply.startswith(b"$") else reply)
 
         return complete
 
@@ -97,8 +98,8 @@
 def ignores_drains() -> None:
     def make(old: Any) -> Any:
         def apply_server_list(known: Any, event: api.ServerList) -> None:
-            rows = tuple(e for e in event.entries if e.health is api.Health.READY)
-            old(known, api.ServerList(event.kind, rows))
+            entries = tuple(e for e in event.entries if e.health is api.Health.READY)
+            old(known, api.ServerList(event.kind, entries))
 
         return apply_server_list
 
@@ -108,22 +109,22 @@
 
 
 def drains_late() -> None:
-    """Hears of drains two seconds late."""
+    """Applies server lists two seconds late."""
 
     def make(old: Any) -> Any:
-        def apply_server_list(self: Any, told: api.ServerList, places: Any) -> None:
-            self.loop.call_later(2.0, old, self, told, places)
+        def apply_server_list(self: Any, server_list: api.ServerList, addresses: Any) -> None:
+            self.loop.call_later(2.0, old, self, server_list, addresses)
 
         return apply_server_list
 
     patch(node.Node, "apply_server_list", make)
 
 
-def loses_at_sigterm() -> None:
+def drops_requests_at_sigterm() -> None:
     patch(node.Node, "shut_down", lambda old: lambda self: os._exit(0))
 
 
-def ends_at_sighup() -> None:
+def exits_at_sighup() -> None:
     patch(node.Node, "reconfigure", lambda old: lambda self, config: os._exit(1))
 
 
@@ -131,21 +132,21 @@
     patch(node.Node, "shut_down", lambda old: lambda self: None)
 
 
-def serves_anothers_value() -> None:
-    last = [b""]
+def serves_previous_value() -> None:
+    previous = [b""]
 
     def make(old: Any) -> Any:
         def attempt_ended(self: Any, attempt: Any, outcome: Any, value: bytes) -> None:
-            wrong, last[0] = last[0], value
-            old(self, attempt, outcome, wrong if wrong and now_and_then() else value)
+            wrong_value, previous[0] = previous[0], value
+            old(self, attempt, outcome, wrong_value if wrong_value and draw_fault() else value)
 
         return attempt_ended
 
     patch(node.Node, "attempt_ended", make)
 
 
-def makes_values_up() -> None:
-    """A claim that failed is answered as served."""
+def invents_values() -> None:
+    """Answers a failed claim with a value, as if it had been served."""
 
     def make(old: Any) -> Any:
         def fail(self: Any, action: api.Fail) -> None:
@@ -157,13 +158,15 @@
 
 
 def floods_cold_servers() -> None:
-    """Sends all to the server that started last."""
+    """Sends every request to the server that started last."""
 
     def make(old: Any) -> Any:
         def pick_server(self: Any, tried: Any, request: Any) -> Any:
             ready = [s for s in self.ring if s.entry.health is api.Health.READY]
-            young = max(ready, key=lambda s: s.started_ns, default=None)
-            return young if young and young.started_ns and young not in tried else old(self, tried, request)
+            newest = max(ready, key=lambda s: s.started_ns, default=None)
+            return (
+                newest if newest and newest.started_ns and newest not in tried else old(self, tried, request)
+            )
 
         return pick_server
 
@@ -171,16 +174,16 @@
     patch(policy.Limiter, "over_limit", lambda old: lambda self, work, part=1.0: False)
 
 
-def grants_each_slice_whole() -> None:
-    """Every limiter takes the whole quota for its own slice and asks no counter."""
+def grants_full_quota_per_limiter() -> None:
+    """Grants the full quota at every limiter, without calls to the counter."""
 
     def make(old: Any) -> Any:
         def account_for(self: Any, request: api.Request, plan: api.Plan) -> Any:
-            customer = old(self, request, plan)
-            customer.bucket.stable_interval_ns = SECOND_NS / plan.rate
-            customer.bucket.max_permits = plan.burst
-            customer.total = None
-            return customer
+            account = old(self, request, plan)
+            account.bucket.stable_interval_ns = SECOND_NS / plan.rate
+            account.bucket.max_permits = plan.burst
+            account.total = None
+            return account
 
         return account_for
 
@@ -188,20 +191,20 @@
     patch(policy.Limiter, "may_call_counter", lambda old: lambda self, saved: False)
 
 
-def lets_all_in() -> None:
-    """Asks nobody: every request is sent on."""
+def admits_everything() -> None:
+    """Forwards every request without any check."""
 
     def make(old: Any) -> Any:
-        def admit(self: Any, work: Any, customer: Any) -> None:
+        def admit(self: Any, work: Any, account: Any) -> None:
             self.send_first_attempt(work)
 
         return admit
 
     def without_ceiling(old: Any) -> Any:
         def account_for(self: Any, request: api.Request, plan: api.Plan) -> Any:
-            customer = old(self, request, plan)
-            customer.ceiling.stored_permits = customer.ceiling.max_permits = math.inf
-            return customer
+            account = old(self, request, plan)
+            account.ceiling.stored_permits = account.ceiling.max_permits = math.inf
+            return account
 
         return account_for
 
@@ -213,7 +216,7 @@
 def never_answers() -> None:
     def make(old: Any) -> Any:
         def complete(self: Any, reply: bytes) -> None:
-            if not now_and_then():
+            if not draw_fault():
                 old(self, reply)
 
         return complete
@@ -222,11 +225,11 @@
 
 
 def answers_late() -> None:
-    """Holds what it gave up until after the client has gone."""
+    """Holds some refusals until after the client's deadline."""
 
     def make(old: Any) -> Any:
         def refuse(self: Any, action: api.Refuse) -> None:
-            if now_and_then():
+            if draw_fault():
                 self.loop.call_later(2.2, old, self, action)
                 if request := self.open_requests.get(action.request_id):
                     request.deadline_timer.cancel()
@@ -239,11 +242,11 @@
 
 
 def closes_instead() -> None:
-    """Closes the connection instead of saying that a request failed."""
+    """Closes the connection instead of answering that a request is refused."""
 
     def make(old: Any) -> Any:
         def refuse(self: Any, action: api.Refuse) -> None:
-            if now_and_then() and (request := self.remove_request(action.request_id)):
+            if draw_fault() and (request := self.remove_request(action.request_id)):
                 request.pending_reply.connection.transport.abort()
             else:
                 old(self, action)
@@ -253,85 +256,85 @@
     patch(node.Node, "refuse", make)
 
 
-def leaks() -> None:
-    kept: list[bytes] = []
+def leaks_memory() -> None:
+    leaked: list[bytes] = []
 
     def make(old: Any) -> Any:
-        def handle_request(self: Any, words: Any, answer: Any) -> None:
-            kept.append(os.urandom(LEAK_BYTES))
-            old(self, words, answer)
+        def handle_request(self: Any, arguments: Any, reply: Any) -> None:
+            leaked.append(os.urandom(LEAKED_BYTES_PER_REQUEST))
+            old(self, arguments, reply)
 
         return handle_request
 
     patch(node.Node, "handle_request", make)
 
 
-def changes_commands() -> None:
-    """Sends servers an id of its own making."""
+def changes_request_ids() -> None:
+    """Sends some requests to servers under another id."""
 
     def make(old: Any) -> Any:
         def forward(self: Any, wait_ms: int) -> bytes:
-            text: bytes = old(self, wait_ms)
-            return text.replace(self.arguments[2], self.arguments[2][::-1]) if now_and_then() else text
+            payload: bytes = old(self, wait_ms)
+            return payload.replace(self.arguments[2], self.arguments[2][::-1]) if draw_fault() else payload
 
         return forward
 
     patch(resp.Command, "forward", make)
 
 
-def leaves_bad_clients() -> None:
-    """Says nothing to clients that send what cannot be read."""
+def ignores_bad_clients() -> None:
+    """Neither answers nor closes the connections of clients that send malformed requests."""
     patch(clients.Connection, "close_with_error", lambda old: lambda self, why: None)
 
 
 def crashes() -> None:
     def make(old: Any) -> Any:
-        def handle_request(self: Any, words: Any, answer: Any) -> None:
-            if CHANCE.randrange(200) == 0:
+        def handle_request(self: Any, arguments: Any, reply: Any) -> None:
+            if RNG.randrange(200) == 0:
                 os._exit(3)
-            old(self, words, answer)
+            old(self, arguments, reply)
 
         return handle_request
 
     patch(node.Node, "handle_request", make)
 
 
-def forgets_ejection() -> None:
-    """No mutant: the daemon without the ejection of failing servers, to see which way the score goes."""
+def disables_ejection() -> None:
+    """Breaks no rule: shows what the ejection of failing servers contributes to the score."""
     policy.EJECT_FAILURES = 1 << 30
 
 
 MUTANTS: dict[str, Mutant] = {
-    "sends-again": Mutant("effect", "sends a claim again after a failure or a time-out", sends_again),
-    "refuses-run": Mutant("effect", "refuses what may have run", refuses_what_may_have_run),
+    "sends-again": Mutant("effect", "sends a claim again after a failure or a timeout", sends_again),
+    "refuses-run": Mutant("effect", "refuses requests that may have run", refuses_requests_that_may_have_run),
     "two-copies": Mutant("effect", "sends some requests twice at once", sends_two_copies),
     "answers-twice": Mutant("answer", "answers some requests twice", answers_twice),
     "never-answers": Mutant("answer", "never answers some requests", never_answers),
     "answers-late": Mutant("answer", "holds some refusals until after the deadline", answers_late),
-    "closes-instead": Mutant("answer", "closes instead of refusing", closes_instead),
-    "others-value": Mutant("answer", "serves another request's value", serves_anothers_value),
-    "made-up": Mutant("answer", "answers failed claims with a value of its own", makes_values_up),
-    "lost-at-term": Mutant("answer", "drops what it holds at SIGTERM", loses_at_sigterm),
-    "ignores-drains": Mutant("drain", "goes on sending to draining servers", ignores_drains),
-    "drains-late": Mutant("drain", "hears of drains two seconds late", drains_late),
-    "floods-cold": Mutant("cold", "sends all to the server that started last", floods_cold_servers),
-    "lets-all-in": Mutant("ceiling", "keeps no quota and no ceiling", lets_all_in),
-    "whole-slices": Mutant("quota", "grants each limiter's slice whole", grants_each_slice_whole),
-    "other-ids": Mutant("protocol", "sends ids of its own making to servers", changes_commands),
-    "ends-at-hup": Mutant("process", "ends at SIGHUP", ends_at_sighup),
-    "ignores-term": Mutant("process", "goes on after SIGTERM", ignores_sigterm),
-    "crashes": Mutant("process", "crashes now and then", crashes),
-    "leaks": Mutant("memory", "keeps something for every request", leaks),
-    "mute-to-rude": Mutant("rude", "says nothing to bad clients", leaves_bad_clients),
+    "closes-instead": Mutant("answer", "closes connections instead of refusing", closes_instead),
+    "others-value": Mutant("answer", "serves another request's value", serves_previous_value),
+    "made-up": Mutant("answer", "answers failed claims with an invented value", invents_values),
+    "lost-at-term": Mutant("answer", "drops its pending requests at SIGTERM", drops_requests_at_sigterm),
+    "ignores-drains": Mutant("drain", "keeps sending to draining servers", ignores_drains),
+    "drains-late": Mutant("drain", "applies server lists two seconds late", drains_late),
+    "floods-cold": Mutant("cold", "sends every request to the server that started last", floods_cold_servers),
+    "lets-all-in": Mutant("ceiling", "enforces no quota and no ceiling", admits_everything),
+    "whole-slices": Mutant("quota", "grants the full quota at every limiter", grants_full_quota_per_limiter),
+    "other-ids": Mutant("protocol", "sends some requests to servers under another id", changes_request_ids),
+    "ends-at-hup": Mutant("process", "exits at SIGHUP", exits_at_sighup),
+    "ignores-term": Mutant("process", "ignores SIGTERM", ignores_sigterm),
+    "crashes": Mutant("process", "crashes at some requests", crashes),
+    "leaks": Mutant("memory", "leaks memory at every request", leaks_memory),
+    "mute-to-rude": Mutant("rude", "does not answer malformed requests", ignores_bad_clients),
 }
-QUICK_MUTANTS = ("sends-again", "never-answers", "ignores-drains", "others-value")  # what CI plays
-SCORE_VARIANTS: dict[str, ApplyMutant] = {"no-ejection": forgets_ejection}
+QUICK_MUTANTS = ("sends-again", "never-answers", "ignores-drains", "others-value")  # those that CI runs
+SCORE_VARIANTS: dict[str, ApplyMutant] = {"no-ejection": disables_ejection}
 
 
 def main() -> int:
     name = sys.argv[1] if len(sys.argv) == 2 else ""
     if name not in MUTANTS and name not in SCORE_VARIANTS:
-        print(f"mutants: name one of {', '.join((*MUTANTS, *SCORE_VARIANTS))}", file=sys.stderr)
+        print(f"mutants: expected one of {', '.join((*MUTANTS, *SCORE_VARIANTS))}", file=sys.stderr)
         return 2
     (MUTANTS[name].apply if name in MUTANTS else SCORE_VARIANTS[name])()
     del sys.argv[1:]
--- a/hookport/rehearsal/reaper.py
+++ b/hookport/rehearsal/reaper.py
@@ -1,8 +1,8 @@
-"""Ends what a rehearsal started when the rehearsal itself was killed: nothing outlives the command.
+"""Cleans up after a rehearsal whose main process was killed, so that nothing outlives the command.
 
-It reads lines from standard input: ``pid N``, ``done N`` and ``dir PATH``.  At the end of its input, which
-comes however the other end died, it kills every process still listed and removes the folders.  A process is
-known by its number and its start time, so that a number used anew by a stranger is left alone.
+It reads lines from standard input: ``pid N`` adds a process, ``done N`` removes it, ``dir PATH`` adds a
+folder. The input ends however the main process dies; then the remaining processes are killed and the folders
+removed. A process is identified by its id and start time, so that one that reuses the id is not killed.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 import sys
 
 
-def started(pid: int) -> str:
-    """When that process started, in the kernel's own count; empty if there is none."""
+def start_time(pid: int) -> str:
+    """The start time of a process in clock ticks since boot; empty if there is no such process."""
     try:
         with open(f"/proc/{pid}/stat", "rb") as file:
             return file.read().rsplit(b")", 1)[1].split()[19].decode()
@@ -23,23 +23,23 @@
 
 
 def main() -> int:
-    os.setsid()  # Ctrl-C in the terminal is not meant for this process
-    processes: dict[int, str] = {}
+    os.setsid()  # Ctrl-C in the terminal must not reach this process
+    start_times: dict[int, str] = {}
     folders: list[str] = []
     for line in sys.stdin:
-        word, _, value = line.rstrip("\n").partition(" ")
-        if word == "pid":
-            processes[int(value)] = started(int(value))
-        elif word == "done":
-            processes.pop(int(value), None)
-        elif word == "dir":
+        keyword, _, value = line.rstrip("\n").partition(" ")
+        if keyword == "pid":
+            start_times[int(value)] = start_time(int(value))
+        elif keyword == "done":
+            start_times.pop(int(value), None)
+        elif keyword == "dir":
             folders.append(value)
-    for pid, since in processes.items():
-        if since and started(pid) == since:
+    for pid, started in start_times.items():
+        if started and start_time(pid) == started:
             try:
                 os.kill(pid, signal.SIGKILL)
             except ProcessLookupError:
-                continue  # it ended in between
+                continue  # it exited after the check
     for folder in folders:
         shutil.rmtree(folder, ignore_errors=True)
     return 0
