--- a/benchmarks/kit_rate.py
+++ b/benchmarks/kit_rate.py
@@ -1,11 +1,11 @@
-"""How many requests a second the rehearsal kit drives before it runs late itself.
+"""The request rate that the rehearsal kit sustains before its own delays distort a run.
 
     python benchmarks/kit_rate.py [--servers] [RATE ...]
 
-The limiters are replaced by a stub that answers at once, so that what is measured is the kit: clients,
-front, history and judgement.  With --servers they are the plain policy's, six of them, which send all on, so
-that the stand-in servers work too.  For each rate: requests asked, the lateness of their leaving (p50 and
-p99, ms), the longest that a loop of the kit was held, and whether the run would have counted.
+The limiters are replaced by a stub that answers at once, so that only the kit is measured: clients, history
+and judgement. With --servers they are six plain limiters that forward every request, so that the simulated
+servers work too. Printed for each rate: the requests sent per second, the delay of their sending (p50 and
+p99, ms), the longest delay of an event loop of the kit, and whether the run would be valid.
 """
 
 from __future__ import annotations
@@ -30,57 +30,58 @@
 STUB = (*PLAIN, "--stub")
 
 
-def plan_of(rate: int, servers: bool) -> plans.Plan:
-    customers = 100
+def make_plan(rate: int, servers: bool) -> plans.Plan:
+    customer_count = 100
     if servers:
         search = plans.RequestClass(name="search", aim_ms=750, deadline_ms=3000, work_ms=2)
         fleet = plans.FleetSettings(servers=20, cores=8, connections=10_000)
-        limits = plans.LimiterSettings(count=6, sockets=4096)
-        quota = plans.Quota(name="any", rate=rate / customers * 10, burst=rate)
+        limiters = plans.LimiterSettings(count=6, sockets=4096)
+        quota = plans.Quota(name="any", rate=rate / customer_count * 10, burst=rate)
         desk = plans.Desk(
-            name="all", plan="any", customers=customers, usage=0.1, units=(1, 1), spread=6, claims=0
+            name="all", plan="any", customers=customer_count, usage=0.1, units=(1, 1), spread=6, claims=0
         )
         return plans.Plan(title=f"{rate} a second", length_s=LENGTH_S, plans=(quota,), desk=(desk,),
-                          classes=(search,), fleet=fleet, limiters=limits)  # fmt: skip
-    quota = plans.Quota(name="any", rate=rate / customers * 10, burst=rate)
-    desk = plans.Desk(name="all", plan="any", customers=customers, usage=0.1, units=(1, 1), spread=3)
+                          classes=(search,), fleet=fleet, limiters=limiters)  # fmt: skip
+    quota = plans.Quota(name="any", rate=rate / customer_count * 10, burst=rate)
+    desk = plans.Desk(name="all", plan="any", customers=customer_count, usage=0.1, units=(1, 1), spread=3)
     return plans.Plan(title=f"{rate} a second", length_s=LENGTH_S, plans=(quota,), desk=(desk,))
 
 
 async def measure(rate: int, servers: bool) -> tuple[str, bool]:
     with tempfile.TemporaryDirectory() as folder:
-        kept = Path(folder) / "history"
-        plan = plan_of(rate, servers)
-        await Play(plan, 1, PLAIN if servers else STUB).run(kept)
-        began = time.monotonic()
-        head, rows = history.read(kept)
+        history_path = Path(folder) / "history"
+        plan = make_plan(rate, servers)
+        await Play(plan, 1, PLAIN if servers else STUB).run(history_path)
+        started_s = time.monotonic()
+        head, rows = history.read(history_path)
         plan = msgspec.convert(head["plan"], plans.Plan)
-        why = void_reason(plan, rows)
-        read_s = time.monotonic() - began
-    late = [row["late"] for row in rows if row["e"] == "due"]
+        reason = void_reason(plan, rows)
+        read_s = time.monotonic() - started_s
+    delays_ms = [row["late"] for row in rows if row["e"] == "due"]
     times: dict[str, list[int]] = {}
     for row in rows:
         if row["e"] in ("ask", "ans"):
             times.setdefault(row["id"], []).append(row["t"])
-    took = [(t[1] - t[0]) / 1e6 for t in times.values() if len(t) == 2]
-    held = max((row["ms"] for row in rows if row["e"] == "lag"), default=0.0)
+    latencies_ms = [(t[1] - t[0]) / 1e6 for t in times.values() if len(t) == 2]
+    max_lag_ms = max((row["ms"] for row in rows if row["e"] == "lag"), default=0.0)
     answered = sum(row["e"] == "ans" and row["how"] == "value" for row in rows)
     text = (
-        f"{len(late) / LENGTH_S:7.0f}/s  answered {answered / max(1, len(late)):6.1%}  "
-        f"late p50 {quantile(late, 0.5):5.1f} p99 {quantile(late, 0.99):6.1f} ms  held {held:5.0f} ms  "
-        f"answer p50 {quantile(took, 0.5):5.1f} p99 {quantile(took, 0.99):6.1f} ms  "
-        f"read in {read_s:.1f} s  {'void: ' + why if why else 'counts'}"
+        f"{len(delays_ms) / LENGTH_S:7.0f}/s  answered {answered / max(1, len(delays_ms)):6.1%}  "
+        f"late p50 {quantile(delays_ms, 0.5):5.1f} p99 {quantile(delays_ms, 0.99):6.1f} ms  "
+        f"held {max_lag_ms:5.0f} ms  "
+        f"answer p50 {quantile(latencies_ms, 0.5):5.1f} p99 {quantile(latencies_ms, 0.99):6.1f} ms  "
+        f"read in {read_s:.1f} s  {'void: ' + reason if reason else 'counts'}"
     )
-    return text, not why
+    return text, not reason
 
 
 def main() -> int:
-    best, servers = 0, "--servers" in sys.argv
-    for rate in [int(word) for word in sys.argv[1:] if word.isdigit()] or RATES:
-        text, counts = asyncio.run(measure(rate, servers))
+    best_rate, servers = 0, "--servers" in sys.argv
+    for rate in [int(argument) for argument in sys.argv[1:] if argument.isdigit()] or RATES:
+        text, valid = asyncio.run(measure(rate, servers))
         print(text, flush=True)
-        best = max(best, rate if counts else 0)
-    print(f"the kit drives {best} requests a second in time")
+        best_rate = max(best_rate, rate if valid else 0)
+    print(f"the kit drives {best_rate} requests a second in time")
     return 0
 
 
