--- a/hookport/emulator/__init__.py
+++ b/hookport/emulator/__init__.py
@@ -1,15 +1,16 @@
-"""Limiters in virtual time: the decision module and the beliefs of ``membership`` among models of servers and
-desks.
+"""Simulation of limiters in virtual time.
 
-No sockets, no wall clock; whatever is left to chance is drawn from the seed, so that a seed is a verdict.
+``restart_scenario`` runs the decision module and the server records of ``membership`` against models of
+servers and clients. ``whole`` runs the daemon and the test harness on a virtual event loop. Neither uses
+sockets or the wall clock, and all random draws come from the seed: the same seed gives the same result.
 """
 
 from hookport.emulator.clock import Clock
 from hookport.emulator.restart_scenario import AGES_S, MODES, RestartResult, RestartScenario, simulate_restart
-from hookport.emulator.servers import Behaviour, Model, Server
+from hookport.emulator.servers import Behaviour, Server, ServerModel
 from hookport.emulator.simulated_limiter import Answer, SimulatedLimiter
 
 __all__ = [
-    "AGES_S", "MODES", "Answer", "Behaviour", "Clock", "RestartResult", "Model", "RestartScenario",
+    "AGES_S", "MODES", "Answer", "Behaviour", "Clock", "RestartResult", "ServerModel", "RestartScenario",
     "SimulatedLimiter", "Server", "simulate_restart",
 ]  # fmt: skip
--- a/hookport/emulator/clock.py
+++ b/hookport/emulator/clock.py
@@ -1,7 +1,7 @@
-"""Virtual time: what is due next happens next, and time is what it was due at.
+"""A virtual clock that runs callbacks in order of their due time and jumps from one to the next.
 
-Two things due at one instant happen in the order in which they were asked for: no order of a set or an
-address leaks into a run."""
+Callbacks due at the same time run in the order in which they were scheduled, so neither the iteration order
+of a set nor a memory address affects a run."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 class Clock:
-    """Nanoseconds, from ``now_ns`` on."""
+    """An event queue and its time in nanoseconds, which starts at ``now_ns``."""
 
     def __init__(self, now_ns: int) -> None:
         self.now_ns, self.serial = now_ns, 0
-        self.due: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
+        self.queue: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
 
-    def after(self, delay_ns: float, call: Callable[..., object], *arguments: Any) -> None:
-        """Call after a delay in nanoseconds, at once if it is below 0."""
+    def schedule(self, delay_ns: float, callback: Callable[..., object], *arguments: Any) -> None:
+        """Call ``callback`` after ``delay_ns``; a negative delay counts as 0."""
         self.serial += 1
         at_ns = self.now_ns + max(0, round(delay_ns))
-        heapq.heappush(self.due, (at_ns, self.serial, call, arguments))
+        heapq.heappush(self.queue, (at_ns, self.serial, callback, arguments))
 
     def run(self, until_ns: int) -> int:
-        """All that is due by then; returns how many things happened."""
-        happened = 0
-        while self.due and self.due[0][0] <= until_ns:
-            self.now_ns, _, call, arguments = heapq.heappop(self.due)
-            call(*arguments)
-            happened += 1
+        """Run all callbacks due up to ``until_ns`` and return their number."""
+        count = 0
+        while self.queue and self.queue[0][0] <= until_ns:
+            self.now_ns, _, callback, arguments = heapq.heappop(self.queue)
+            callback(*arguments)
+            count += 1
         self.now_ns = max(self.now_ns, until_ns)
-        return happened
+        return count
--- a/hookport/emulator/loop.py
+++ b/hookport/emulator/loop.py
@@ -1,14 +1,14 @@
-"""An event loop in virtual time: asyncio's own, whose clock jumps to what is due next.
+"""An asyncio event loop in virtual time, whose clock jumps to the next timer.
 
-The daemon and the kit are written against asyncio's loop, protocols and transports, so this is the whole seam
-of the *whole* depth: a loop whose ``select`` takes no time, and the network of ``network.py`` behind
-``create_connection``, ``create_server`` and ``create_datagram_endpoint``. Tasks, timers and time-outs are
-asyncio's. Two things due at one instant happen in the order in which they were asked for, so that no
-address and no order of a set decides.
+The daemon and the test harness use asyncio's loop, protocols and transports only, so this loop and the
+network of ``network.py`` replace everything that is real about a run: ``select`` takes no time, and
+``create_connection``, ``create_server`` and ``create_datagram_endpoint`` connect within this process. Tasks,
+timers and timeouts are asyncio's. Callbacks due at the same time run in the order in which they were
+scheduled, so neither memory addresses nor the iteration order of a set affects a run.
 
-A *life* is one process of the real evening. Whatever a life starts belongs to it (by a context variable that
-tasks, timers and connections inherit), so that it can be killed or stopped in the middle of anything: what
-belongs to a dead life never runs, and what belongs to a stopped one waits.
+A SimulatedProcess stands for one process of a run in real time. Everything that it starts belongs to it,
+through a context variable that tasks, timers and connections inherit. So it can be killed or stopped at any
+point: callbacks of a terminated process never run, and those of a stopped one wait.
 """
 
 from __future__ import annotations
@@ -22,43 +22,45 @@
 if TYPE_CHECKING:
     from hookport.emulator.network import Network
 
-SPIN = 200_000  # turns of the loop in one instant, beyond which something calls itself for ever
-START_S = 1000.0  # of the loop's clock: nothing may hold that a clock begins at zero
+MAX_TURNS_PER_INSTANT = 200_000  # more loop iterations at one time mean a callback that reschedules itself
+START_S = 1000.0  # first value of the loop's clock, not 0: code must not assume that a clock starts at zero
 
 
 class SpinError(Exception):
-    """Time stands still: what is called again and again is named."""
+    """The clock does not advance because callbacks keep rescheduling themselves; the message names them."""
 
 
 class StallError(Exception):
-    """Nothing is due and nobody will ever wake: the evening cannot go on."""
+    """No callback is scheduled, so the run can never continue."""
 
 
-class Life:
-    """One process, as far as a loop can tell."""
+class SimulatedProcess:
+    """A process of the run: whether it has terminated, and until when it is stopped (SIGSTOP)."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.dead, self.stopped_until_s = name, False, 0.0
+        self.name, self.terminated, self.stopped_until_s = name, False, 0.0
 
 
-LIFE: contextvars.ContextVar[Life | None] = contextvars.ContextVar("life", default=None)
+CURRENT_PROCESS: contextvars.ContextVar[SimulatedProcess | None] = contextvars.ContextVar(
+    "process", default=None
+)
 
 
-class Timer(asyncio.TimerHandle):
-    """A timer with its place among those of the same instant."""
+class OrderedTimer(asyncio.TimerHandle):
+    """A timer that orders itself after the earlier-scheduled timers of the same time."""
 
     __slots__ = ("serial",)
 
     serial: int
 
     def __lt__(self, other: object) -> bool:
-        if not isinstance(other, Timer):
+        if not isinstance(other, OrderedTimer):
             return NotImplemented
         return (self.when(), self.serial) < (other.when(), other.serial)
 
 
-class Jump:
-    """In the place of a selector: to wait is to set the clock."""
+class VirtualSelector:
+    """Replaces the selector: waiting advances the clock to the next timer."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop, self.turns = loop, 0
@@ -66,66 +68,72 @@
     def select(self, timeout: float | None) -> list[Any]:
         loop = self.loop
         if timeout is None:
-            raise StallError("nothing is due and nobody waits for the network")
+            raise StallError("no callback is scheduled: the run waits for an event that cannot occur")
         if timeout > 0:
-            loop.now_s, self.turns = max(loop.now_s, loop.next_s()), 0
+            loop.now_s, self.turns = max(loop.now_s, loop.next_due_s()), 0
             return []
         self.turns += 1
-        if self.turns > SPIN:
-            raise SpinError(f"the clock stands at {loop.now_s:.6f} s; next: {loop.waiting()}")
+        if self.turns > MAX_TURNS_PER_INSTANT:
+            raise SpinError(f"the clock is stuck at {loop.now_s:.6f} s; next: {loop.describe_ready()}")
         return []
 
     def close(self) -> None:
-        """Nothing is held."""
+        """There are no resources to release."""
 
 
-class Owned:
-    """A callback of a life: it never runs once that is dead, and waits while it is stopped.
+class ProcessCallback:
+    """A callback of a process: it never runs once the process has terminated, and waits while it is stopped.
 
-    Whoever asked for it may cancel it while it waits: guards against a time limit that ends, after a stop,
-    what was answered in the same moment."""
+    It can be cancelled while it waits. Otherwise a timeout that expired during a stop would, after the stop,
+    still end an operation whose answer arrived in the meantime."""
 
-    __slots__ = ("args", "callback", "context", "handle", "life", "loop")
+    __slots__ = ("args", "callback", "context", "handle", "process", "loop")
 
     def __init__(
-        self, loop: VirtualLoop, life: Life, callback: Callable[..., object], args: tuple[Any, ...],
-        context: contextvars.Context | None,
+        self, loop: VirtualLoop, process: SimulatedProcess, callback: Callable[..., object],
+        args: tuple[Any, ...], context: contextvars.Context | None,
     ) -> None:  # fmt: skip
-        self.loop, self.life, self.callback, self.args, self.context = loop, life, callback, args, context
+        self.loop, self.process, self.callback, self.args, self.context = (
+            loop,
+            process,
+            callback,
+            args,
+            context,
+        )
         self.handle: asyncio.Handle | None = None
 
     def run(self) -> None:
-        if self.life.dead or (self.handle and self.handle.cancelled()):
+        if self.process.terminated or (self.handle and self.handle.cancelled()):
             return
-        if self.life.stopped_until_s > self.loop.now_s:
-            self.loop.wake(self)
+        if self.process.stopped_until_s > self.loop.now_s:
+            self.loop.resume_later(self)
         else:
-            self.handle = None  # they name each other
+            self.handle = None  # breaks the reference cycle between the callback and its handle
             self.callback(*self.args)
 
     def __repr__(self) -> str:
-        return f"<Owned by {self.life.name}: {self.callback!r}>"
+        return f"<ProcessCallback of {self.process.name}: {self.callback!r}>"
 
 
-H = TypeVar("H", bound=asyncio.Handle)
+HandleType = TypeVar("HandleType", bound=asyncio.Handle)
 
 
-def keep(callback: Callable[..., object], handle: H) -> H:
-    """Let a callback of a life know the handle by which it is cancelled."""
-    if isinstance(owned := getattr(callback, "__self__", None), Owned) and owned.handle is None:
-        owned.handle = handle
+def attach_handle(callback: Callable[..., object], handle: HandleType) -> HandleType:
+    """Store in a process's callback the handle by which it can be cancelled."""
+    if isinstance(bound := getattr(callback, "__self__", None), ProcessCallback) and bound.handle is None:
+        bound.handle = handle
     return handle
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """Seconds from ``START_S`` on; ``network`` is set before anything connects."""
+    """The event loop. Its clock starts at ``START_S``; ``network`` must be set before anything connects."""
 
     network: Network
 
     def __init__(self) -> None:
         super().__init__()
         self.now_s, self.serial = START_S, 0
-        self._selector = Jump(self)
+        self._selector = VirtualSelector(self)
 
     def time(self) -> float:
         return self.now_s
@@ -133,41 +141,41 @@
     def now_ns(self) -> int:
         return round(self.now_s * 1e9)
 
-    def next_s(self) -> float:
-        scheduled: list[Timer] = self._scheduled  # type: ignore[attr-defined]
+    def next_due_s(self) -> float:
+        scheduled: list[OrderedTimer] = self._scheduled  # type: ignore[attr-defined]
         return scheduled[0].when() if scheduled else self.now_s
 
-    def waiting(self) -> str:
-        """What runs next, for whoever looks for a spin."""
+    def describe_ready(self) -> str:
+        """The next callbacks, for the message of a SpinError."""
         ready = list(self._ready)[:3]  # type: ignore[attr-defined]
         return "; ".join(repr(handle)[:300] for handle in ready) or "nothing"
 
     def _process_events(self, event_list: list[Any]) -> None:
-        """There are none: the network is made of timers."""
+        """Does nothing: the network is simulated with timers and produces no I/O events."""
 
     def _write_to_self(self) -> None:
-        """Nothing waits that would have to be woken."""
+        """Does nothing: the loop never blocks, so it needs no wake-up."""
 
-    # What belongs to whom
+    # Callbacks and the process to which they belong
 
-    def owned(
+    def bind_to_process(
         self, callback: Callable[..., object], args: tuple[Any, ...], context: contextvars.Context | None
     ) -> tuple[Callable[..., object], tuple[Any, ...]]:
-        life = LIFE.get() if context is None else context.get(LIFE)
-        if life is None:
+        process = CURRENT_PROCESS.get() if context is None else context.get(CURRENT_PROCESS)
+        if process is None:
             return callback, args
-        owned = Owned(self, life, callback, args, context)
-        return owned.run, ()
+        bound = ProcessCallback(self, process, callback, args, context)
+        return bound.run, ()
 
-    def wake(self, owned: Owned) -> None:
-        """Run a callback when its life goes on: the handle that its asker holds stays the one that counts."""
-        self.at(owned.life.stopped_until_s, owned.run, (), owned.context)
+    def resume_later(self, callback: ProcessCallback) -> None:
+        """Run a callback when its process resumes; the handle returned to the caller still cancels it."""
+        self.schedule_at(callback.process.stopped_until_s, callback.run, (), callback.context)
 
     def call_soon(  # type: ignore[override]
         self, callback: Callable[..., object], *args: Any, context: contextvars.Context | None = None
     ) -> asyncio.Handle:
-        callback, args = self.owned(callback, args, context)
-        return keep(callback, super().call_soon(callback, *args, context=context))
+        callback, args = self.bind_to_process(callback, args, context)
+        return attach_handle(callback, super().call_soon(callback, *args, context=context))
 
     def call_later(  # type: ignore[override]
         self, delay: float, callback: Callable[..., object], *args: Any,
@@ -179,14 +187,14 @@
         self, when: float, callback: Callable[..., object], *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:  # fmt: skip
-        callback, args = self.owned(callback, args, context)
-        return keep(callback, self.at(when, callback, args, context))
+        callback, args = self.bind_to_process(callback, args, context)
+        return attach_handle(callback, self.schedule_at(when, callback, args, context))
 
-    def at(
+    def schedule_at(
         self, when: float, callback: Callable[..., object], args: tuple[Any, ...],
         context: contextvars.Context | None,
-    ) -> Timer:  # fmt: skip
-        timer = Timer(max(when, self.now_s), callback, args, self, context)
+    ) -> OrderedTimer:  # fmt: skip
+        timer = OrderedTimer(max(when, self.now_s), callback, args, self, context)
         self.serial += 1
         timer.serial = self.serial
         heapq.heappush(self._scheduled, timer)  # type: ignore[attr-defined]
@@ -202,4 +210,4 @@
         return self.network.listen(factory, (host, port))
 
     async def create_datagram_endpoint(self, factory: Any, local_addr: Any = None, **_: Any) -> Any:  # type: ignore[override]
-        return self.network.post(factory, local_addr)
+        return self.network.open_datagram_endpoint(factory, local_addr)
--- a/hookport/emulator/renamed_constants.py
+++ b/hookport/emulator/renamed_constants.py
@@ -198,6 +198,17 @@
     "hookport.rehearsal.rival.MOST_OUT": "hookport.rehearsal.rival.MAX_IN_FLIGHT_PER_SERVER",
     "hookport.rehearsal.rival.CONNECT_S": "hookport.rehearsal.rival.CONNECT_TIMEOUT_S",
     "hookport.rehearsal.standins.post.LARGEST": "hookport.rehearsal.standins.datagrams.MAX_DATAGRAM_BYTES",
+    "hookport.emulator.servers.FALL_SLACK": "hookport.emulator.servers.OVERLOAD_SLACK_JOBS",
+    "hookport.emulator.seat.TICK_NS": "hookport.emulator.simulated_limiter.TICK_INTERVAL_NS",
+    "hookport.emulator.dawn.START_NS": "hookport.emulator.restart_scenario.START_NS",
+    "hookport.emulator.dawn.DAY_S": "hookport.emulator.restart_scenario.DAY_S",
+    "hookport.emulator.dawn.FORGET_S": "hookport.emulator.restart_scenario.FORGET_S",
+    "hookport.emulator.loop.SPIN": "hookport.emulator.loop.MAX_TURNS_PER_INSTANT",
+    "hookport.emulator.network.LEAST_S": "hookport.emulator.network.MIN_DELAY_S",
+    "hookport.emulator.network.MOST_S": "hookport.emulator.network.MAX_DELAY_S",
+    "hookport.emulator.network.CUT_SHARE": "hookport.emulator.network.SPLIT_WRITE_SHARE",
+    "hookport.emulator.network.CUT_S": "hookport.emulator.network.MAX_SPLIT_DELAY_S",
+    "hookport.emulator.network.WINDOW_BYTES": "hookport.emulator.network.RECEIVE_WINDOW_BYTES",
 }
 
 
--- a/hookport/emulator/restart_scenario.py
+++ b/hookport/emulator/restart_scenario.py
@@ -1,10 +1,10 @@
-"""A morning on which all limiters start again while discovery says nothing, on a list of some age.
+"""Simulates a restart of all limiters during a discovery outage, from a saved server list of a given age.
 
-The fleet has changed since the list was kept, as much as its age makes likely: a roll replaces every server
-once a day, and a server starts again by itself once in some days.  Most replacements come up at the old
-address under a new id; at the others there is nothing, a black hole, or something that is no desk server.
-Some servers of the list were draining when it was kept: whatever lives at their addresses now, they were told
-to get nothing."""
+The fleet has changed since the list was saved, as much as is likely in that time: a rolling update replaces
+every server once a day, and a server restarts by itself once in some days. Most replacements listen on the
+old address under a new id. On the other addresses connections are refused or time out, or another service
+answers. Some servers of the list were draining when it was saved: they must get no requests, whatever listens
+on their addresses now."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 from aniseshed.interface import Health, ListKind, Request, ServerEntry, ServerList
 from hookport.emulator.clock import MS, SECOND, Clock
-from hookport.emulator.servers import Behaviour, Model, Server
-from hookport.emulator.simulated_limiter import Answer, SimulatedLimiter, settings
+from hookport.emulator.servers import Behaviour, Server, ServerModel
+from hookport.emulator.simulated_limiter import Answer, SimulatedLimiter, make_settings
 from hookport.membership.curve import TrustCurve
 from hookport.membership.fleet import Address, FleetView, Snapshot, SnapshotEntry
 
@@ -27,10 +27,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RestartScenario:
-    """What is drawn: ``load`` is a part of the fleet's capacity, ``stays`` the chance that a replaced
-    server's address is its successor's, ``crash_days`` the mean time between a server's own restarts,
-    ``restarted`` the part of the servers that started again within a second before the limiters did,
-    unheard."""
+    """The parameters of a restart.
+
+    ``age_s`` is the age of the saved list. ``mode`` is the source of the list: ``discovery`` (the current
+    list, from a working discovery), ``kept`` (the saved list, with a trust in each server), ``as-told`` (the
+    saved list, trusted fully) or ``none``. ``load`` is a share of the fleet's capacity, ``claim_share`` the
+    share of requests that are claims. ``address_kept_share`` is the probability that a replacement listens on
+    the address of the server that it replaces, ``mean_crash_days`` the mean time between restarts of a server
+    by itself, and ``restarted_share`` the share of the servers that restarted within the last second before
+    the limiters did, which no limiter could notice.
+    """
 
     age_s: float
     seed: int
@@ -38,19 +44,22 @@
     servers: int = 10
     limiters: int = 3
     load: float = 0.6
-    claims: float = 0.2
-    stays: float = 0.85
-    crash_days: float = 2.0
-    restarted: float = 0.0
+    claim_share: float = 0.2
+    address_kept_share: float = 0.85
+    mean_crash_days: float = 2.0
+    restarted_share: float = 0.0
     length_s: float = 30.0
 
 
 @dataclass(slots=True)
 class RestartResult:
-    """What came of it.  Shares are of requests asked in the first 10 and 30 s; ``first_s`` is the time to the
-    first good answer, infinite if there was none.  ``drained`` counts attempts at servers that the list tells
-    as draining, ``unproved`` claims that came to a server which had not answered that limiter yet, ``fell``
-    cold servers that were pushed over."""
+    """The measurements of one restart.
+
+    ``share_10s`` and ``share_30s`` are the shares of the requests of the first 10 and 30 s that were answered
+    within their target; ``first_s`` is the time to the first successful answer, infinite if there was none.
+    ``drained`` counts attempts at servers that the list has as draining, ``unproved`` claims sent to a server
+    that had not answered the limiter before, ``fell`` cold servers that failed under overload.
+    """
 
     first_s: float
     share_10s: float
@@ -62,119 +71,135 @@
     fell: int
 
 
-def changed(
-    chance: random.Random, told: RestartScenario, clock: Clock, model: Model
+def draw_server_state(
+    rng: random.Random, scenario: RestartScenario, clock: Clock, model: ServerModel
 ) -> tuple[Behaviour, int, bool]:
-    """What lives at a server's address after ``age_s``, since when, and whether it is the same server
-    still."""
-    if chance.random() < min(1.0, told.age_s / DAY_S):
-        if chance.random() < told.stays:
-            # The newest life of the address began at some time since the list, or within the last day.
-            born_ns = clock.now_ns - round(chance.uniform(0, min(told.age_s, DAY_S)) * SECOND)
-            return Behaviour.SERVES, born_ns, False
-        odd = chance.choice((Behaviour.REFUSES, Behaviour.REFUSES, Behaviour.SILENT, Behaviour.NOISE))
-        return odd, 0, False
-    if chance.random() < told.restarted:
-        return Behaviour.SERVES, clock.now_ns - round(chance.random() * SECOND), True
-    since_s = chance.expovariate(1 / (told.crash_days * DAY_S))
-    return Behaviour.SERVES, clock.now_ns - round(since_s * SECOND) if since_s < told.age_s else 0, True
-
-
-def simulate_restart(told: RestartScenario) -> RestartResult:
-    """One morning; the same for the same ``Morning``."""
-    chance, clock, model = random.Random(told.seed), Clock(START_NS), Model()
+    """Draw what listens on a server's address after ``age_s``.
+
+    Returns its behaviour, when it started (0: long ago), and whether it is still the same server.
+    """
+    if rng.random() < min(1.0, scenario.age_s / DAY_S):
+        if rng.random() < scenario.address_kept_share:
+            # The replacement started at some time since the list was saved, or within the last day.
+            started_ns = clock.now_ns - round(rng.uniform(0, min(scenario.age_s, DAY_S)) * SECOND)
+            return Behaviour.SERVES, started_ns, False
+        behaviour = rng.choice((Behaviour.REFUSES, Behaviour.REFUSES, Behaviour.SILENT, Behaviour.NOISE))
+        return behaviour, 0, False
+    if rng.random() < scenario.restarted_share:
+        return Behaviour.SERVES, clock.now_ns - round(rng.random() * SECOND), True
+    since_s = rng.expovariate(1 / (scenario.mean_crash_days * DAY_S))
+    return Behaviour.SERVES, clock.now_ns - round(since_s * SECOND) if since_s < scenario.age_s else 0, True
+
+
+def simulate_restart(scenario: RestartScenario) -> RestartResult:
+    """Simulate one restart; equal scenarios give equal results."""
+    rng, clock, model = random.Random(scenario.seed), Clock(START_NS), ServerModel()
     addresses: dict[Address, Server] = {}
-    held, truth = list[SnapshotEntry](), list[tuple[ServerEntry, Address]]()
-    listed_ns = START_NS - round(told.age_s * SECOND)
-    draining = set(chance.sample(range(told.servers), max(1, told.servers // 10)))
-    for n in range(told.servers):
-        place = (f"10.0.0.{n % 250}", 6379 + n // 250)
-        id = b"s-%08x" % chance.getrandbits(32)
+    entries, actual_servers = list[SnapshotEntry](), list[tuple[ServerEntry, Address]]()
+    snapshot_ns = START_NS - round(scenario.age_s * SECOND)
+    draining = set(rng.sample(range(scenario.servers), max(1, scenario.servers // 10)))
+    for n in range(scenario.servers):
+        address = (f"10.0.0.{n % 250}", 6379 + n // 250)
+        id = b"s-%08x" % rng.getrandbits(32)
         health = Health.DRAINING if n in draining else Health.READY
-        behaviour, born_ns, same = changed(chance, told, clock, model)
-        if n in draining:  # it has gone since; its address may be another's by now
-            behaviour, same = chance.choice((Behaviour.SERVES, Behaviour.DRAINS, Behaviour.REFUSES)), False
-        addresses[place] = Server(clock, model, behaviour, born_ns)
+        behaviour, started_ns, same_server = draw_server_state(rng, scenario, clock, model)
+        if n in draining:  # it has stopped since then; another server may use its address
+            behaviour, same_server = (
+                rng.choice((Behaviour.SERVES, Behaviour.DRAINS, Behaviour.REFUSES)),
+                False,
+            )
+        addresses[address] = Server(clock, model, behaviour, started_ns)
         entry = ServerEntry(id, 0, 0, 0, health, 1.0, 0)
-        held.append(SnapshotEntry(entry, place, 40, listed_ns, listed_ns))
+        entries.append(SnapshotEntry(entry, address, 40, snapshot_ns, snapshot_ns))
         if behaviour is Behaviour.SERVES:
-            born_ms = born_ns // MS * MS
-            now = replace(entry, server=id if same else id + b"-new", health=Health.READY, started_ns=born_ms)
-            truth.append((now, place))
-        elif n not in draining:  # its successor came up elsewhere: only discovery knows
-            place = (f"10.0.1.{n % 250}", 6379 + n // 250)
-            addresses[place] = Server(clock, model, Behaviour.SERVES)
-            truth.append((replace(entry, server=id + b"-new"), place))
-    seats = [seat(told, n, clock, model, addresses, held, truth) for n in range(told.limiters)]
-    return morning(told, chance, clock, model, seats, addresses, {held[n].entry.server for n in draining})
-
-
-def seat(told: RestartScenario, index: int, clock: Clock, model: Model, addresses: dict[Address, Server],
-         held: list[SnapshotEntry],
-         truth: list[tuple[ServerEntry, Address]]) -> SimulatedLimiter:  # fmt: skip
-    """A limiter that starts now."""
+            started_ms = started_ns // MS * MS
+            current = replace(
+                entry, server=id if same_server else id + b"-new", health=Health.READY, started_ns=started_ms
+            )
+            actual_servers.append((current, address))
+        elif n not in draining:  # its replacement has another address, which only discovery knows
+            address = (f"10.0.1.{n % 250}", 6379 + n // 250)
+            addresses[address] = Server(clock, model, Behaviour.SERVES)
+            actual_servers.append((replace(entry, server=id + b"-new"), address))
+    limiters = [
+        start_limiter(scenario, n, clock, model, addresses, entries, actual_servers)
+        for n in range(scenario.limiters)
+    ]
+    return simulate_requests(
+        scenario, rng, clock, model, limiters, addresses, {entries[n].entry.server for n in draining}
+    )
+
+
+def start_limiter(scenario: RestartScenario, index: int, clock: Clock, model: ServerModel,
+                  addresses: dict[Address, Server], entries: list[SnapshotEntry],
+                  actual_servers: list[tuple[ServerEntry, Address]]) -> SimulatedLimiter:  # fmt: skip
+    """Create a limiter and give it its first server list, as the scenario's mode says."""
     fleet = (
-        FleetView("dawn", index, told.limiters, TrustCurve(), round(FORGET_S * SECOND))
-        if told.mode == "kept"
+        FleetView("dawn", index, scenario.limiters, TrustCurve(), round(FORGET_S * SECOND))
+        if scenario.mode == "kept"
         else None
     )
-    made = settings(index, told.limiters, model.cold_s, model.cold_from)
-    seat = SimulatedLimiter(clock, made, told.seed * 100 + index, addresses, fleet)
+    limiter_settings = make_settings(index, scenario.limiters, model.warm_up_s, model.cold_capacity_share)
+    limiter = SimulatedLimiter(clock, limiter_settings, scenario.seed * 100 + index, addresses, fleet)
     if fleet:
-        kept = Snapshot("dawn", 40, held[0].confirmed_ns, tuple(held), {})
-        seat.out(fleet.start(clock.now_ns, kept, ServerList(ListKind.CACHED, ()), {}))
-    elif told.mode == "as-told":
-        seat.listed(
-            ServerList(ListKind.CACHED, tuple(h.entry for h in held)),
-            {h.entry.server: h.address for h in held},
+        snapshot = Snapshot("dawn", 40, entries[0].confirmed_ns, tuple(entries), {})
+        limiter.apply_update(fleet.start(clock.now_ns, snapshot, ServerList(ListKind.CACHED, ()), {}))
+    elif scenario.mode == "as-told":
+        limiter.apply_server_list(
+            ServerList(ListKind.CACHED, tuple(item.entry for item in entries)),
+            {item.entry.server: item.address for item in entries},
+        )
+    elif scenario.mode == "discovery":
+        limiter.apply_server_list(
+            ServerList(ListKind.FULL, tuple(entry for entry, _ in actual_servers)),
+            {entry.server: address for entry, address in actual_servers},
         )
-    elif told.mode == "discovery":
-        seat.listed(ServerList(ListKind.FULL, tuple(e for e, _ in truth)), {e.server: p for e, p in truth})
     else:
-        seat.listed(ServerList(ListKind.CACHED, ()), {})
-    return seat
-
-
-def morning(told: RestartScenario, chance: random.Random, clock: Clock, model: Model,
-            seats: list[SimulatedLimiter], addresses: dict[Address, Server],
-            draining: set[bytes]) -> RestartResult:  # fmt: skip
-    """Ask from the first moment on, and count."""
-    rate = told.load * told.servers * model.cores / model.work_s
-    good = {10: 0, 30: 0}
-    asked = {10: 0, 30: 0}
-    first_ns = list[int]()
-
-    def ask() -> None:
-        claim = chance.random() < told.claims
-        began_ns, work_s = clock.now_ns, model.work_s * chance.lognormvariate(-0.16, 0.57)
-        kind = seats[0].settings.classes[claim]
-
-        def answered(how: Answer) -> None:
-            if how is not Answer.VALUE:
+        limiter.apply_server_list(ServerList(ListKind.CACHED, ()), {})
+    return limiter
+
+
+def simulate_requests(scenario: RestartScenario, rng: random.Random, clock: Clock, model: ServerModel,
+                      limiters: list[SimulatedLimiter], addresses: dict[Address, Server],
+                      draining: set[bytes]) -> RestartResult:  # fmt: skip
+    """Send requests from the start on and return the measurements."""
+    rate = scenario.load * scenario.servers * model.cores / model.work_s
+    good_by_window = {10: 0, 30: 0}
+    requests_by_window = {10: 0, 30: 0}
+    answer_times_ns = list[int]()
+
+    def send_request() -> None:
+        is_claim = rng.random() < scenario.claim_share
+        sent_ns, work_s = clock.now_ns, model.work_s * rng.lognormvariate(-0.16, 0.57)
+        traffic_class = limiters[0].settings.classes[is_claim]
+
+        def on_answer(answer: Answer) -> None:
+            if answer is not Answer.VALUE:
                 return
-            first_ns.append(clock.now_ns)
-            for span in good:
-                good[span] += (
-                    began_ns < START_NS + span * SECOND and clock.now_ns - began_ns <= kind.target_ns
+            answer_times_ns.append(clock.now_ns)
+            for window_s in good_by_window:
+                good_by_window[window_s] += (
+                    sent_ns < START_NS + window_s * SECOND
+                    and clock.now_ns - sent_ns <= traffic_class.target_ns
                 )
 
-        for span in asked:
-            asked[span] += began_ns < START_NS + span * SECOND
-        request = Request(0, int(claim), 0, chance.getrandbits(20), kind.deadline_ns, 1.0,
-                          float(told.limiters), 0.0, False)  # fmt: skip
-        chance.choice(seats).ask(request, work_s, answered)
-        if clock.now_ns < START_NS + told.length_s * SECOND:
-            clock.after(chance.expovariate(rate) * SECOND, ask)
+        for window_s in requests_by_window:
+            requests_by_window[window_s] += sent_ns < START_NS + window_s * SECOND
+        request = Request(0, int(is_claim), 0, rng.getrandbits(20), traffic_class.deadline_ns, 1.0,
+                          float(scenario.limiters), 0.0, False)  # fmt: skip
+        rng.choice(limiters).submit(request, work_s, on_answer)
+        if clock.now_ns < START_NS + scenario.length_s * SECOND:
+            clock.schedule(rng.expovariate(rate) * SECOND, send_request)
 
-    clock.after(0, ask)
-    clock.run(START_NS + round((told.length_s + 5) * SECOND))
+    clock.schedule(0, send_request)
+    clock.run(START_NS + round((scenario.length_s + 5) * SECOND))
     return RestartResult(
-        first_s=(min(first_ns) - START_NS) / SECOND if first_ns else float("inf"),
-        share_10s=good[10] / max(1, asked[10]),
-        share_30s=good[30] / max(1, asked[30]),
-        attempts=sum(seat.attempts for seat in seats),
-        wasted=sum(seat.wasted for seat in seats),
-        drained=sum(seat.sent_to.get(server, 0) for seat in seats for server in draining),
-        unproved=sum(server.unproved for server in addresses.values()),
-        fell=sum(server.fell for server in addresses.values()),
+        first_s=(min(answer_times_ns) - START_NS) / SECOND if answer_times_ns else float("inf"),
+        share_10s=good_by_window[10] / max(1, requests_by_window[10]),
+        share_30s=good_by_window[30] / max(1, requests_by_window[30]),
+        attempts=sum(limiter.attempts for limiter in limiters),
+        wasted=sum(limiter.wasted_attempts for limiter in limiters),
+        drained=sum(limiter.attempts_by_server.get(server, 0) for limiter in limiters for server in draining),
+        unproved=sum(server.unproven_claims for server in addresses.values()),
+        fell=sum(server.has_failed for server in addresses.values()),
     )
--- a/hookport/emulator/servers.py
+++ b/hookport/emulator/servers.py
@@ -1,5 +1,5 @@
-"""A server in virtual time: cores, a waiting room, a cold start, and the ways in which an address can be
-wrong."""
+"""A model of a desk server in virtual time: cores, a queue, a cold start, and the ways in which an address of
+an old list can be wrong."""
 
 from __future__ import annotations
 
@@ -11,114 +11,127 @@
 from aniseshed.interface import Outcome
 from hookport.emulator.clock import SECOND, Clock
 
-FALL_SLACK = 4.0  # mean works that chance alone may send beyond a cold server's budget
+# A cold server's budget may be exceeded by this many requests of mean work: random arrivals alone do that.
+COLD_BUDGET_SLACK = 4.0
 
 
 class Behaviour(Enum):
-    """What lives at an address."""
+    """What answers at an address."""
 
     SERVES = "serves"
-    DRAINS = "drains"  # turns everything away
-    REFUSES = "refuses"  # nothing listens
-    SILENT = "silent"  # a connection never comes up
-    NOISE = "noise"  # something else, that answers what cannot be read
+    DRAINS = "drains"  # rejects all requests
+    REFUSES = "refuses"  # refuses connections: nothing listens
+    SILENT = "silent"  # connecting times out
+    NOISE = "noise"  # another service, whose answers cannot be parsed
 
 
 @dataclass(frozen=True, slots=True)
-class Model:
-    """How servers work: ``work_s`` is the mean of one request on one core of a warm server, in seconds."""
+class ServerModel:
+    """Capacity of the servers; ``work_s`` is the mean work of a request in seconds on one core of a warm
+    server.
+
+    A cold server starts with ``cold_capacity_share`` of its capacity and is warm after ``warm_up_s``. It
+    fails if the work that arrives within ``overload_window_s`` exceeds ``overload_multiple`` times its
+    capacity.
+    """
 
     cores: int = 2
-    queue: int = 24
+    queue_length: int = 24
     work_s: float = 0.05
-    cold_from: float = 0.25
-    cold_s: float = 8.0
-    fall_multiple: float = 3.0
-    fall_s: float = 1.5
-    connect_s: float = 0.25  # time-out of a connection that never comes up
-    link_s: float = 0.0005  # one way
+    cold_capacity_share: float = 0.25
+    warm_up_s: float = 8.0
+    overload_multiple: float = 3.0
+    overload_window_s: float = 1.5
+    connect_timeout_s: float = 0.25  # after which connecting to a silent address fails
+    link_delay_s: float = 0.0005  # one-way delay
 
 
 @dataclass(slots=True)
 class Job:
+    """One attempt at a server; ``on_ended`` is called once with its outcome."""
+
     limiter: int
     safe: bool
     work_s: float
-    ended: Callable[[Outcome], None]
-    over: bool = False
+    on_ended: Callable[[Outcome], None]
+    finished: bool = False
 
 
 class Server:
-    """One address.  ``born_ns`` is the start of what lives there now, 0 for long ago."""
-
-    def __init__(self, clock: Clock, model: Model, behaviour: Behaviour, born_ns: int = 0) -> None:
-        self.clock, self.model, self.behaviour, self.born_ns = clock, model, behaviour, born_ns
-        self.waiting: deque[Job] = deque()
-        self.running = 0
-        self.recent: deque[tuple[int, float]] = deque()
-        self.fell = False
-        self.arrived: Counter[tuple[int, bool]] = Counter()  # by limiter and whether safe to repeat
-        self.answered: Counter[int] = Counter()  # good answers by limiter
-        self.unproved = 0  # requests not safe to repeat, of a limiter that had no good answer from here yet
-
-    def warm(self) -> float:
-        """The present part of its capacity."""
-        age = (self.clock.now_ns - self.born_ns) / SECOND / self.model.cold_s
-        return 1.0 if not self.born_ns else min(1.0, self.model.cold_from + (1 - self.model.cold_from) * age)
-
-    def arrive(self, limiter: int, safe: bool, work_s: float, ended: Callable[[Outcome], None]) -> Job:
-        """An attempt sets out; ``ended`` is told once how it ended, when that is known to the limiter."""
-        job, model = Job(limiter, safe, work_s, ended), self.model
-        wait_s = model.connect_s if self.behaviour is Behaviour.SILENT else model.link_s
-        self.clock.after(wait_s * SECOND, self.begin, job)
+    """What listens at one address. ``started_ns`` is when it started, 0 if it has long been warm."""
+
+    def __init__(self, clock: Clock, model: ServerModel, behaviour: Behaviour, started_ns: int = 0) -> None:
+        self.clock, self.model, self.behaviour, self.started_ns = clock, model, behaviour, started_ns
+        self.queue: deque[Job] = deque()
+        self.busy_cores = 0
+        self.recent_work: deque[tuple[int, float]] = deque()
+        self.has_failed = False
+        self.arrivals: Counter[tuple[int, bool]] = Counter()  # by limiter, and whether safe to repeat
+        self.answers: Counter[int] = Counter()  # successful answers by limiter
+        self.unproven_claims = 0  # from a limiter that had no successful answer from here before
+
+    def warm_share(self) -> float:
+        """Return the share of its full capacity that the server has now."""
+        age = (self.clock.now_ns - self.started_ns) / SECOND / self.model.warm_up_s
+        return (
+            1.0
+            if not self.started_ns
+            else min(1.0, self.model.cold_capacity_share + (1 - self.model.cold_capacity_share) * age)
+        )
+
+    def arrive(self, limiter: int, safe: bool, work_s: float, on_ended: Callable[[Outcome], None]) -> Job:
+        """Send an attempt; ``on_ended`` is called with its outcome when the limiter would see it."""
+        job, model = Job(limiter, safe, work_s, on_ended), self.model
+        delay_s = model.connect_timeout_s if self.behaviour is Behaviour.SILENT else model.link_delay_s
+        self.clock.schedule(delay_s * SECOND, self.on_arrival, job)
         return job
 
-    def begin(self, job: Job) -> None:
+    def on_arrival(self, job: Job) -> None:
         if self.behaviour in (Behaviour.REFUSES, Behaviour.SILENT):
-            return self.end(job, Outcome.CONNECT_FAILED, 0.0)
-        self.arrived[job.limiter, job.safe] += 1
-        self.unproved += not job.safe and not self.answered[job.limiter]
+            return self.finish(job, Outcome.CONNECT_FAILED, 0.0)
+        self.arrivals[job.limiter, job.safe] += 1
+        self.unproven_claims += not job.safe and not self.answers[job.limiter]
         if self.behaviour is Behaviour.NOISE:
-            return self.end(job, Outcome.RESET)
-        if self.pressed(job.work_s):
-            self.fell, self.behaviour = True, Behaviour.REFUSES
-            return self.end(job, Outcome.RESET)
-        if self.behaviour is Behaviour.DRAINS or len(self.waiting) >= self.model.queue:
-            return self.end(job, Outcome.FULL)
-        self.waiting.append(job)
-        self.work()
-
-    def pressed(self, work_s: float) -> bool:
-        """Whether a cold server has got more than its budget within one window: it falls over for good."""
+            return self.finish(job, Outcome.RESET)
+        if self.is_overloaded(job.work_s):
+            self.has_failed, self.behaviour = True, Behaviour.REFUSES
+            return self.finish(job, Outcome.RESET)
+        if self.behaviour is Behaviour.DRAINS or len(self.queue) >= self.model.queue_length:
+            return self.finish(job, Outcome.FULL)
+        self.queue.append(job)
+        self.start_jobs()
+
+    def is_overloaded(self, work_s: float) -> bool:
+        """Return whether a cold server got more work in one window than its budget, and so fails for good."""
         model, now_ns = self.model, self.clock.now_ns
-        if self.warm() >= 1:
+        if self.warm_share() >= 1:
             return False
-        self.recent.append((now_ns, work_s))
-        while self.recent[0][0] < now_ns - model.fall_s * SECOND:
-            self.recent.popleft()
-        budget_s = model.fall_multiple * model.cores * self.warm() * model.fall_s
-        return sum(work for _, work in self.recent) > budget_s + FALL_SLACK * model.work_s
-
-    def work(self) -> None:
-        while self.waiting and self.running < self.model.cores:
-            job = self.waiting.popleft()
-            if job.over:
-                continue  # given up while it waited
-            self.running += 1
-            self.clock.after(job.work_s / self.warm() * SECOND, self.done, job)
-
-    def done(self, job: Job) -> None:
-        self.running -= 1
+        self.recent_work.append((now_ns, work_s))
+        while self.recent_work[0][0] < now_ns - model.overload_window_s * SECOND:
+            self.recent_work.popleft()
+        budget_s = model.overload_multiple * model.cores * self.warm_share() * model.overload_window_s
+        return sum(work for _, work in self.recent_work) > budget_s + COLD_BUDGET_SLACK * model.work_s
+
+    def start_jobs(self) -> None:
+        while self.queue and self.busy_cores < self.model.cores:
+            job = self.queue.popleft()
+            if job.finished:
+                continue  # the limiter gave up while it waited in the queue
+            self.busy_cores += 1
+            self.clock.schedule(job.work_s / self.warm_share() * SECOND, self.on_work_done, job)
+
+    def on_work_done(self, job: Job) -> None:
+        self.busy_cores -= 1
         if self.behaviour in (Behaviour.SERVES, Behaviour.DRAINS):
-            if not job.over:
-                self.answered[job.limiter] += 1
-            self.end(job, Outcome.OK)
-            self.work()
+            if not job.finished:
+                self.answers[job.limiter] += 1
+            self.finish(job, Outcome.OK)
+            self.start_jobs()
         else:
-            self.end(job, Outcome.RESET)
+            self.finish(job, Outcome.RESET)
 
-    def end(self, job: Job, outcome: Outcome, back_s: float | None = None) -> None:
-        if not job.over:
-            job.over = True
-            wait_s = self.model.link_s if back_s is None else back_s
-            self.clock.after(wait_s * SECOND, job.ended, outcome)
+    def finish(self, job: Job, outcome: Outcome, return_delay_s: float | None = None) -> None:
+        if not job.finished:
+            job.finished = True
+            delay_s = self.model.link_delay_s if return_delay_s is None else return_delay_s
+            self.clock.schedule(delay_s * SECOND, job.on_ended, outcome)
--- a/hookport/emulator/simulated_limiter.py
+++ b/hookport/emulator/simulated_limiter.py
@@ -1,4 +1,4 @@
-"""A limiter in virtual time: the decision module in its seat, with models where the daemon has sockets."""
+"""A limiter in virtual time: the decision module, with server models in place of the daemon's sockets."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from hookport.emulator.servers import Job, Server
 from hookport.membership.fleet import Address, FleetView, Update
 
-TICK_NS = 250 * MS
+TICK_INTERVAL_NS = 250 * MS
 
 
 class Answer(Enum):
-    """The one end of a request."""
+    """How a request ended for its client."""
 
     VALUE = "value"
     REFUSED = "refused"
@@ -25,16 +25,18 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class OpenRequest:
+    """A request without an answer yet, with its number of attempts so far."""
+
     work_s: float
     safe: bool
-    ends_ns: int
-    answered: Callable[[Answer], None]
+    deadline_ns: int
+    on_answer: Callable[[Answer], None]
     attempts: int = 0
 
 
 class SimulatedLimiter:
-    """One limiter.  ``fleet`` is what it believes of the servers; None takes every list at its word."""
+    """One limiter. ``fleet`` tracks how far each server is trusted; None uses every server list unchecked."""
 
     def __init__(
         self,
@@ -47,113 +49,124 @@
         self.clock, self.settings, self.addresses, self.fleet = clock, settings, addresses, fleet
         self.limiter = Limiter(settings, seed)
         self.events: deque[api.Event] = deque()
-        self.busy = False
-        self.places: dict[bytes, Address] = {}
-        self.open: dict[int, Asked] = {}
+        self.handling = False
+        self.addresses_by_server: dict[bytes, Address] = {}
+        self.open_requests: dict[int, OpenRequest] = {}
         self.jobs: dict[tuple[int, int], tuple[Job, bytes, int]] = {}
         self.next_id = 0
-        self.attempts = self.wasted = 0
-        self.sent_to: dict[bytes, int] = {}
+        self.attempts = self.wasted_attempts = 0
+        self.attempts_by_server: dict[bytes, int] = {}
         if fleet:
-            clock.after(TICK_NS, self.tick)
+            clock.schedule(TICK_INTERVAL_NS, self.tick)
 
-    # Lists
+    # Server lists
 
-    def listed(self, told: api.ServerList, places: Mapping[bytes, Address]) -> None:
-        self.places.update(places)
-        self.feed(told)
+    def apply_server_list(
+        self, server_list: api.ServerList, addresses_by_server: Mapping[bytes, Address]
+    ) -> None:
+        self.addresses_by_server.update(addresses_by_server)
+        self.handle(server_list)
 
-    def out(self, update: Update | None) -> None:
+    def apply_update(self, update: Update | None) -> None:
         if update and update.server_list:
-            self.listed(update.server_list, update.addresses)
+            self.apply_server_list(update.server_list, update.addresses)
 
     def tick(self) -> None:
         if self.fleet:
-            self.out(self.fleet.tick(self.clock.now_ns))
-            self.clock.after(TICK_NS, self.tick)
+            self.apply_update(self.fleet.tick(self.clock.now_ns))
+            self.clock.schedule(TICK_INTERVAL_NS, self.tick)
 
     # Requests
 
-    def ask(self, request: api.Request, work_s: float, answered: Callable[[Answer], None]) -> None:
-        """A client's try, which gets one answer; its id is set here."""
+    def submit(self, request: api.Request, work_s: float, on_answer: Callable[[Answer], None]) -> None:
+        """Handle a client's request, which gets exactly one answer; its request id is set here."""
         self.next_id += 1
-        kind = self.settings.classes[request.traffic_class]
-        safe = kind.idempotency is api.Idempotency.SAFE
-        ends_ns = self.clock.now_ns + request.timeout_ns
-        self.open[self.next_id] = Asked(work_s, safe, ends_ns, answered)
-        self.clock.after(request.timeout_ns, self.overdue, self.next_id)
-        self.feed(replace(request, request_id=self.next_id))
-
-    def feed(self, event: api.Event) -> None:
+        traffic_class = self.settings.classes[request.traffic_class]
+        safe = traffic_class.idempotency is api.Idempotency.SAFE
+        deadline_ns = self.clock.now_ns + request.timeout_ns
+        self.open_requests[self.next_id] = OpenRequest(work_s, safe, deadline_ns, on_answer)
+        self.clock.schedule(request.timeout_ns, self.on_deadline, self.next_id)
+        self.handle(replace(request, request_id=self.next_id))
+
+    def handle(self, event: api.Event) -> None:
         self.events.append(event)
-        if self.busy:
+        if self.handling:
             return
-        self.busy = True
+        self.handling = True
         while self.events:
             for action in self.limiter.handle(self.clock.now_ns, self.events.popleft()):
-                self.do(action)
-        self.busy = False
+                self.execute(action)
+        self.handling = False
 
-    def do(self, action: api.Action) -> None:
+    def execute(self, action: api.Action) -> None:
         if isinstance(action, api.Send):
             self.send(action)
         elif isinstance(action, api.Refuse):
-            self.answer(action.request_id, Answer.REFUSED)
+            self.finish_request(action.request_id, Answer.REFUSED)
         elif isinstance(action, api.Fail):
-            self.answer(action.request_id, Answer.FAILED)
+            self.finish_request(action.request_id, Answer.FAILED)
         elif isinstance(action, api.SetTimer):
-            self.clock.after(action.delay_ns, self.feed, api.TimerFired(action.token))
+            self.clock.schedule(action.delay_ns, self.handle, api.TimerFired(action.token))
         elif isinstance(action, api.Cancel):
-            self.give_up((action.request_id, action.attempt), api.Outcome.CANCELLED)
+            self.end_attempt((action.request_id, action.attempt), api.Outcome.CANCELLED)
         elif isinstance(action, api.Count):
-            raise ValueError("this model has no counter: settings.has_counter must be false")
+            raise ValueError("the simulated limiter has no counter: settings.has_counter must be false")
 
-    def answer(self, request_id: int, how: Answer) -> None:
-        if asked := self.open.pop(request_id, None):
-            asked.answered(how)
+    def finish_request(self, request_id: int, answer: Answer) -> None:
+        if open_request := self.open_requests.pop(request_id, None):
+            open_request.on_answer(answer)
 
     def send(self, action: api.Send) -> None:
-        asked = self.open[action.request_id]
-        key = (action.request_id, asked.attempts)
-        asked.attempts += 1
+        open_request = self.open_requests[action.request_id]
+        key = (action.request_id, open_request.attempts)
+        open_request.attempts += 1
         self.attempts += 1
-        self.sent_to[action.server] = self.sent_to.get(action.server, 0) + 1
-        server = self.addresses[self.places[action.server]]
-        job = server.arrive(self.settings.index, asked.safe, asked.work_s, lambda o: self.ended(key, o))
+        self.attempts_by_server[action.server] = self.attempts_by_server.get(action.server, 0) + 1
+        server = self.addresses[self.addresses_by_server[action.server]]
+        job = server.arrive(
+            self.settings.index,
+            open_request.safe,
+            open_request.work_s,
+            lambda o: self.on_attempt_ended(key, o),
+        )
         self.jobs[key] = job, action.server, self.clock.now_ns
         if action.deadline_ns:
-            self.clock.after(action.deadline_ns - self.clock.now_ns, self.give_up, key, api.Outcome.TIMEOUT)
+            self.clock.schedule(
+                action.deadline_ns - self.clock.now_ns, self.end_attempt, key, api.Outcome.TIMEOUT
+            )
 
-    def ended(self, key: tuple[int, int], outcome: api.Outcome) -> None:
+    def on_attempt_ended(self, key: tuple[int, int], outcome: api.Outcome) -> None:
         if key not in self.jobs:
             return
         job, server, sent_ns = self.jobs.pop(key)
         if outcome is api.Outcome.OK:
-            self.answer(key[0], Answer.VALUE)
+            self.finish_request(key[0], Answer.VALUE)
         elif outcome is not api.Outcome.CANCELLED:
-            self.wasted += 1
+            self.wasted_attempts += 1
         elapsed_ns = self.clock.now_ns - sent_ns
-        self.feed(api.AttemptEnded(*key, server, outcome, elapsed_ns, key[0] not in self.open, 0, 0, ()))
+        self.handle(
+            api.AttemptEnded(*key, server, outcome, elapsed_ns, key[0] not in self.open_requests, 0, 0, ())
+        )
         if self.fleet:
-            self.out(self.fleet.record_outcome(self.clock.now_ns, server, outcome))
+            self.apply_update(self.fleet.record_outcome(self.clock.now_ns, server, outcome))
 
-    def give_up(self, key: tuple[int, int], outcome: api.Outcome) -> None:
+    def end_attempt(self, key: tuple[int, int], outcome: api.Outcome) -> None:
         if key in self.jobs:
-            self.jobs[key][0].over = True
-            self.ended(key, outcome)
+            self.jobs[key][0].finished = True
+            self.on_attempt_ended(key, outcome)
 
-    def overdue(self, request_id: int) -> None:
-        """No time is left: attempts end as timed out, and the module has the last word."""
-        asked = self.open.get(request_id)
-        for number in range(asked.attempts if asked else 0):
-            self.give_up((request_id, number), api.Outcome.TIMEOUT)
-        if request_id in self.open:
-            self.answer(request_id, Answer.FAILED)
-            self.feed(api.HungUp(request_id))
+    def on_deadline(self, request_id: int) -> None:
+        """End the attempts as timed out, and the request as failed unless the decision module answers it."""
+        open_request = self.open_requests.get(request_id)
+        for number in range(open_request.attempts if open_request else 0):
+            self.end_attempt((request_id, number), api.Outcome.TIMEOUT)
+        if request_id in self.open_requests:
+            self.finish_request(request_id, Answer.FAILED)
+            self.handle(api.HungUp(request_id))
 
 
-def settings(index: int, limiters: int, cold_s: float, cold_from: float) -> api.Settings:
-    """A deployment of two classes, searches and claims, in which quotas do not bind."""
+def make_settings(index: int, limiters: int, warm_up_s: float, cold_capacity_share: float) -> api.Settings:
+    """Return settings with two request classes, search and claim, and a quota too large to limit anything."""
     search = api.TrafficClass(
         target_ns=750 * MS, deadline_ns=3 * SECOND, value=2.0, late_value=0.0,
         idempotency=api.Idempotency.SAFE, dedup_scope=api.DedupScope.ALL, dedup_window_ns=0, stream=False,
@@ -169,6 +182,6 @@
         max_pending=20_000,
         may_probe=False, may_cancel=True, may_duplicate=False, may_send_retry_after=True,
         may_message_peers=False, max_retry_after_ns=SECOND, connect_timeout_ns=250 * MS, subscribe=False,
-        resubscribe_within_ns=10 * SECOND, drain_grace_ns=250 * MS, cold_capacity_share=cold_from,
-        warm_up_ns=round(cold_s * SECOND), overload_multiple=3.0, overload_ns=1500 * MS, report_fields=(),
+        resubscribe_within_ns=10 * SECOND, drain_grace_ns=250 * MS, cold_capacity_share=cold_capacity_share,
+        warm_up_ns=round(warm_up_s * SECOND), overload_multiple=3.0, overload_ns=1500 * MS, report_fields=(),
     )  # fmt: skip
--- a/hookport/emulator/whole.py
+++ b/hookport/emulator/whole.py
@@ -24,7 +24,7 @@
 import msgspec
 
 from hookport.config import ConfigError, parse_config
-from hookport.emulator.loop import LIFE, Life, SpinError, StallError, VirtualLoop
+from hookport.emulator.loop import CURRENT_PROCESS, SimulatedProcess, SpinError, StallError, VirtualLoop
 from hookport.emulator.network import Network
 from hookport.node import Node
 from hookport.rehearsal import draw, judgement
@@ -66,7 +66,7 @@
     def __init__(self, number: int, told: dict[str, Any]) -> None:
         self.number, self.told = number, told
         self.count = 0  # of lives so far
-        self.life: Life | None = None
+        self.process: SimulatedProcess | None = None
         self.node: Node | None = None
         self.done: asyncio.Event = asyncio.Event()  # the present life has ended in good order
         self.stopping = False
@@ -100,8 +100,8 @@
 
     async def play(self) -> list[Row]:
         plan, count = self.plan, self.plan.limiters.count
-        ports = [self.network.port() for _ in range(count)]
-        words = [self.network.port() for _ in range(count)] if plan.peers.allowed else []
+        ports = [self.network.allocate_port() for _ in range(count)]
+        words = [self.network.allocate_port() for _ in range(count)] if plan.peers.allowed else []
         self.world = World(plan, self.seed, self.recorder, self.told)  # type: ignore[arg-type]
         places = await self.world.start(ports, words)
         for number, port in enumerate(ports):
@@ -159,12 +159,16 @@
 
     async def launch(self, seat: Seat) -> None:
         seat.count += 1
-        seat.life, seat.done, seat.stopping = Life(f"n{seat.number}.{seat.count}"), asyncio.Event(), False
+        seat.process, seat.done, seat.stopping = (
+            SimulatedProcess(f"n{seat.number}.{seat.count}"),
+            asyncio.Event(),
+            False,
+        )
         config = parse_config(seat.told, {})
         context = contextvars.copy_context()
-        context.run(LIFE.set, seat.life)
+        context.run(CURRENT_PROCESS.set, seat.process)
         node = seat.node = context.run(
-            Node, config, self.loop, Place.clock_ns, Place.unix_ns, self.network.unread
+            Node, config, self.loop, Place.clock_ns, Place.unix_ns, self.network.has_unread
         )
         started = asyncio.Event()
         self.loop.create_task(self.serve(seat, node, started), context=context).add_done_callback(self.over)
@@ -188,7 +192,7 @@
     def within(self, seat: Seat, call: Callable[..., object], *args: Any) -> None:
         """What a signal handler does: in the limiter's own life."""
         context = contextvars.copy_context()
-        context.run(LIFE.set, seat.life)
+        context.run(CURRENT_PROCESS.set, seat.process)
         self.loop.call_soon(call, *args, context=context)
 
     def spawn(self, call: Any) -> None:
@@ -211,8 +215,8 @@
             self.failures.append(event["why"])
 
     async def signal(self, seat: Seat, told: dict[str, Any]) -> None:
-        what, life, node = told["signal"], seat.life, seat.node
-        if life is None or node is None or seat.stopping:
+        what, process, node = told["signal"], seat.process, seat.node
+        if process is None or node is None or seat.stopping:
             return
         if what == "HUP":
             for name in ("discovery", "counter"):
@@ -224,7 +228,7 @@
             self.note("stop", seat)
             until_ns = Place.clock_ns() + round((told["back_s"] + 1) * 1e9)
             self.recorder.record({"t": Place.clock_ns(), "e": "excuse", "l": seat.number, "until": until_ns})
-            life.stopped_until_s = self.loop.time() + told["back_s"]
+            process.stopped_until_s = self.loop.time() + told["back_s"]
             await asyncio.sleep(told["back_s"])
             self.note("cont", seat)
             return
@@ -234,7 +238,7 @@
             await self.end_in_time(seat, PLANNED_S)
         else:
             self.note("kill", seat)
-            self.network.kill(life)
+            self.network.kill(process)
             self.desks.set_limiter_state(seat.number, False, seat.count, False)
         await asyncio.sleep(told["back_s"])
         agent = self.world.agents[seat.number]
@@ -244,17 +248,17 @@
         self.desks.set_limiter_state(seat.number, True, seat.count, True)
 
     async def end_in_time(self, seat: Seat, planned_s: float) -> None:
-        assert seat.node and seat.life
+        assert seat.node and seat.process
         self.within(seat, seat.node.shut_down)
         self.loop.call_later(planned_s, self.desks.set_limiter_state, seat.number, False, seat.count, True)
         try:
             async with asyncio.timeout(end_within_s(self.plan)):
                 await seat.done.wait()
             self.note("exit", seat, code=0)
-            seat.life.dead = True
+            seat.process.terminated = True
         except TimeoutError:
             self.note("overdue", seat)
-            self.network.kill(seat.life)
+            self.network.kill(seat.process)
 
 
 def unix_ns(loop: VirtualLoop, phase_ns: int) -> int:
@@ -267,7 +271,7 @@
     before = Place.host, Place.clock_ns, Place.unix_ns, Place.port
     loop = VirtualLoop()
     loop.network = Network(loop, seed)
-    Place.host, Place.port = HOST, loop.network.port
+    Place.host, Place.port = HOST, loop.network.allocate_port
     phase_ns = round(draw.between(0.0, PHASE_S, seed, "phase") * 1e9)
     Place.clock_ns, Place.unix_ns = loop.now_ns, functools.partial(unix_ns, loop, phase_ns)
     logger = logging.getLogger("hookport")
--- a/tests/test_restart_scenario.py
+++ b/tests/test_restart_scenario.py
@@ -1,4 +1,4 @@
-"""Whole mornings on kept lists, in virtual time: what the servers themselves count."""
+"""Restarts of all limiters from saved server lists, in virtual time, measured at the servers."""
 
 from __future__ import annotations
 
@@ -8,35 +8,41 @@
 
 from hookport.emulator import RestartResult, RestartScenario, simulate_restart
 
-SHORT = RestartScenario(60, 1, servers=6, load=0.5, length_s=6.0)
+SHORT_SCENARIO = RestartScenario(60, 1, servers=6, load=0.5, length_s=6.0)
 
 
 @pytest.mark.parametrize("age_s", [1, 600, 3_600, 86_400, 604_800])
-def test_no_drained_server_gets_work_and_no_claim_an_unproved_one_of_an_old_list(age_s: float) -> None:
+def test_draining_servers_get_no_requests_and_unproven_servers_of_an_old_list_no_claims(age_s: float) -> None:
     for seed in range(6):
-        dawn = simulate_restart(replace(SHORT, age_s=age_s, seed=seed))
-        assert not dawn.drained and not dawn.fell, seed
-        assert age_s < 60 or not dawn.unproved, seed
-        assert dawn.first_s < 3
+        result = simulate_restart(replace(SHORT_SCENARIO, age_s=age_s, seed=seed))
+        assert not result.drained and not result.fell, seed
+        assert age_s < 60 or not result.unproved, seed
+        assert result.first_s < 3
 
 
-def test_a_list_of_a_minute_is_nearly_as_good_as_discovery_and_none_serves_nobody() -> None:
-    kept, told, none = (simulate_restart(replace(SHORT, mode=mode)) for mode in ("kept", "discovery", "none"))
-    assert kept.share_10s > told.share_10s - 0.03
+def test_list_of_one_minute_serves_nearly_as_well_as_discovery_and_no_list_serves_nothing() -> None:
+    saved, current, none = (
+        simulate_restart(replace(SHORT_SCENARIO, mode=mode)) for mode in ("kept", "discovery", "none")
+    )
+    assert saved.share_10s > current.share_10s - 0.03
     assert none.share_30s == 0 and none.attempts == 0
 
 
-def test_what_takes_every_list_at_its_word_sends_claims_where_they_may_not_go() -> None:
-    """The measure can fail: the same morning without the beliefs."""
-    assert simulate_restart(replace(SHORT, age_s=86_400, mode="as-told")).unproved > 0
+def test_without_trust_in_servers_claims_reach_unproven_servers() -> None:
+    """Checks the measurement itself: without trust in servers the same restart must show such claims."""
+    assert simulate_restart(replace(SHORT_SCENARIO, age_s=86_400, mode="as-told")).unproved > 0
 
 
-def test_all_limiters_that_start_among_cold_servers_push_none_over() -> None:
+def test_limiters_that_restart_with_all_servers_overload_no_cold_server() -> None:
     for seed in range(4):
-        dawn = simulate_restart(replace(SHORT, restarted=1.0, load=0.9, seed=seed))
-        assert not dawn.fell and dawn.share_10s > 0.4
+        result = simulate_restart(replace(SHORT_SCENARIO, restarted_share=1.0, load=0.9, seed=seed))
+        assert not result.fell and result.share_10s > 0.4
 
 
-def test_a_seed_is_a_verdict() -> None:
-    assert simulate_restart(SHORT) == simulate_restart(SHORT) != simulate_restart(replace(SHORT, seed=2))
-    assert isinstance(simulate_restart(SHORT), RestartResult)
+def test_same_seed_gives_the_same_result() -> None:
+    assert (
+        simulate_restart(SHORT_SCENARIO)
+        == simulate_restart(SHORT_SCENARIO)
+        != simulate_restart(replace(SHORT_SCENARIO, seed=2))
+    )
+    assert isinstance(simulate_restart(SHORT_SCENARIO), RestartResult)
