--- a/benchmarks/explore_mutants.py
+++ b/benchmarks/explore_mutants.py
@@ -20,11 +20,11 @@
 
 def found(name: str, most: int) -> tuple[str, int, float, str]:
     """The seed of the first day that shows it (0: none), the seconds played, all rules broken by then."""
-    explore.harmed(name)
+    explore.initialize_worker(name)
     took_s, broken = 0.0, set[str]()
     for seed in range(1, most + 1):
-        played = explore.play(days.table(seed, 16.0), seed)
-        took_s += played.took_s
+        played = explore.play(days.plan_table(seed, 16.0), seed)
+        took_s += played.elapsed_s
         broken.update(played.kinds)
         if mutants.MUTANTS[name].rule in played.kinds:
             return name, seed, took_s, ", ".join(sorted(broken))
--- a/hookport/emulator/days.py
+++ b/hookport/emulator/days.py
@@ -1,10 +1,10 @@
-"""Random days: plans drawn from the users' incident record, one for each seed.
+"""Random days: plans drawn from a seed, after the incidents that users recorded.
 
-A day has a fleet, two to four limiters, desks that ask 0.4 to 1.1 times what the fleet can do, and up to
-five troubles, in half of the days all within a few seconds of one another. What recurs in the record: bursts
-of 1.4 to 2.3 times, up to a fifth of the servers killed or 3.4 to 8.4 times slower, desks that move on,
-discovery and counter in trouble, links that fall silent one by one, limiters restarted under load. A day is
-a plan like any other: it can be written, kept, and played in any depth.
+A day has a fleet, two to four limiters, desks whose load is 0.4 to 1.1 times the fleet's capacity, and up to
+five faults, in half of the days all within a few seconds. The faults are those that recur in the incident
+record: bursts of 1.4 to 2.3 times the load, up to a fifth of the servers killed or 3.4 to 8.4 times slower,
+desks that switch to other limiters, outages of discovery and counter, single links that fall silent, limiters
+restarted under load. A day is an ordinary plan: it can be written to a file and run in real or virtual time.
 """
 
 from __future__ import annotations
@@ -19,39 +19,39 @@
 from hookport.rehearsal import plan as plans
 
 Table = dict[str, Any]
-MOST_TROUBLES = 5
-CLOSE_S = 4.0  # within which the troubles of a hard day begin
-# What a quota may be passed by, of what it lets in: as it is (a small plan's slices hold one request), and
-# more for each trouble that hides spends.
-QUOTA_OVER = 0.25
-HIDES = {"limiter": 0.08, "counter": 0.15, "link": 0.08}
-SPLITS = 0.45  # two halves of a counter lend one quota until they are told apart
+MAX_FAULTS = 5
+FAULT_CLUSTER_S = 4.0  # on a day with clustered faults all of them begin within this time
+# The excess over a quota that a day's quota rule tolerates, as a share of the admitted units: a base, because
+# the slices of a small plan hold one request, and more for each fault that hides spent units from others.
+BASE_QUOTA_TOLERANCE = 0.25
+TOLERANCE_BY_FAULT = {"limiter": 0.08, "counter": 0.15, "link": 0.08}
+SPLIT_TOLERANCE = 0.45  # both halves of a split counter grant the same quota until the split is detected
 
 
-class Chance:
-    """Draws of one day by name: what one of them gives does not hang on which were made before it."""
+class SeededDraws:
+    """Named random draws of one day: the value depends on seed and name, not on the draws made before."""
 
     def __init__(self, seed: int, *names: object) -> None:
         self.seed, self.names = seed, names
 
-    def of(self, *names: object) -> Chance:
-        return Chance(self.seed, *self.names, *names)
+    def child(self, *names: object) -> SeededDraws:
+        return SeededDraws(self.seed, *self.names, *names)
 
-    def part(self, *names: object) -> float:
+    def fraction(self, *names: object) -> float:
         return float(draw.uniform(self.seed, "day", *self.names, *names))
 
-    def between(self, low: float, high: float, *names: object) -> float:
+    def uniform(self, low: float, high: float, *names: object) -> float:
         return round(draw.between(low, high, self.seed, "day", *self.names, *names), 3)
 
-    def whole(self, low: int, high: int, *names: object) -> int:
-        return low + int((high - low + 1) * self.part(*names))
+    def integer(self, low: int, high: int, *names: object) -> int:
+        return low + int((high - low + 1) * self.fraction(*names))
 
-    def one(self, choices: Sequence[Any], *names: object) -> Any:
-        return choices[int(len(choices) * self.part(*names))]
+    def choice(self, choices: Sequence[Any], *names: object) -> Any:
+        return choices[int(len(choices) * self.fraction(*names))]
 
 
-def demand_ms(desk: Table, quota: plans.Quota, classes: Sequence[plans.Class]) -> float:
-    """Work in core milliseconds a second that one customer of the desk asks for, inside its quota."""
+def customer_load_ms(desk: Table, quota: plans.Quota, classes: Sequence[plans.Class]) -> float:
+    """Return the load of one customer of the desk within its quota, in core milliseconds per second."""
     units = sum(desk["units"]) / 2
     usage = min(1.0, plans.MOOD_USAGE[desk["mood"]])
     safe, claim = classes[0], classes[1]
@@ -59,197 +59,210 @@
     return float(usage * quota.rate / units * work_ms * math.sqrt(units))
 
 
-def desks(chance: Chance, limiters: int, load_ms: float, length_s: float) -> list[Table]:
-    """Desks that ask for so much work together; each has a plan, a mood and a set of limiters."""
-    usual = plans.Plan(title="usual", desk=(plans.Desk(name="one", plan="basic", customers=1),))
-    many = chance.whole(2, 4, "desks")
-    weights = [chance.between(0.2, 1.0, "weight", n) for n in range(many)]
-    told = []
+def draw_desks(draws: SeededDraws, limiters: int, load_ms: float, length_s: float) -> list[Table]:
+    """Draw desks whose total load is about ``load_ms`` core milliseconds per second."""
+    default_plan = plans.Plan(title="usual", desk=(plans.Desk(name="one", plan="basic", customers=1),))
+    count = draws.integer(2, 4, "desks")
+    weights = [draws.uniform(0.2, 1.0, "weight", n) for n in range(count)]
+    desks = []
     for n, weight in enumerate(weights):
-        own = chance.of("desk", n)
-        quota = usual.plans[own.one((0, 1, 1, 2, 2), "plan")]
+        own_draws = draws.child("desk", n)
+        quota = default_plan.plans[own_draws.choice((0, 1, 1, 2, 2), "plan")]
         desk: Table = {
             "name": f"desk-{n}",
             "plan": quota.name,
             "customers": 1,
-            "mood": own.one(("calm", "full", "full", "heavy", "spiky"), "mood"),
-            "claims": own.between(0.05, 0.4, "claims"),
-            "units": [1, own.one((1, 2, 2, 3), "units")],
-            "spread": own.whole(min(2, limiters), limiters, "spread"),
+            "mood": own_draws.choice(("calm", "full", "full", "heavy", "spiky"), "mood"),
+            "claims": own_draws.uniform(0.05, 0.4, "claims"),
+            "units": [1, own_draws.choice((1, 2, 2, 3), "units")],
+            "spread": own_draws.integer(min(2, limiters), limiters, "spread"),
         }
-        each_ms = demand_ms(desk, quota, usual.classes)
-        desk["customers"] = max(1, min(400, round(load_ms * weight / sum(weights) / each_ms)))
-        if own.part("once") < 0.1:
+        customer_ms = customer_load_ms(desk, quota, default_plan.classes)
+        desk["customers"] = max(1, min(400, round(load_ms * weight / sum(weights) / customer_ms)))
+        if own_draws.fraction("once") < 0.1:
             desk["once"] = True
-        if own.part("shift") < 0.3:
-            desk["shift_at_s"] = own.between(0.2, 0.8, "shift_at") * length_s
-        told.append(desk)
-    return told
+        if own_draws.fraction("shift") < 0.3:
+            desk["shift_at_s"] = own_draws.uniform(0.2, 0.8, "shift_at") * length_s
+        desks.append(desk)
+    return desks
 
 
-def sides(chance: Chance, limiters: int) -> list[list[int]]:
-    cut = chance.whole(1, limiters - 1, "cut")
+def draw_sides(draws: SeededDraws, limiters: int) -> list[list[int]]:
+    cut = draws.integer(1, limiters - 1, "cut")
     return [list(range(cut)), list(range(cut, limiters))]
 
 
-def counter(chance: Chance, limiters: int) -> Table:
+def draw_counter_fault(draws: SeededDraws, limiters: int) -> Table:
     modes = ("silent", "late", "noise", "busy", "down", "fresh", "split", "split", "snapshot", "part")
-    told = {"do": "counter", "mode": chance.one(modes, "mode"), "for_s": chance.between(1, 8, "for")}
-    if told["mode"] == "split":
-        told["sides"] = sides(chance, limiters)
-        if chance.part("flap") < 0.3:
-            told |= {
-                "flaps": [chance.whole(0, limiters - 1, "who")],
-                "flap_s": chance.between(1, 7, "flap_s"),
+    fault = {"do": "counter", "mode": draws.choice(modes, "mode"), "for_s": draws.uniform(1, 8, "for")}
+    if fault["mode"] == "split":
+        fault["sides"] = draw_sides(draws, limiters)
+        if draws.fraction("flap") < 0.3:
+            fault |= {
+                "flaps": [draws.integer(0, limiters - 1, "who")],
+                "flap_s": draws.uniform(1, 7, "flap_s"),
             }
-    return told
+    return fault
 
 
-def link(chance: Chance, limiters: int, servers: int) -> Table:
-    to = chance.one(("server", "server", "counter", "counter", "discovery", "desks"), "to")
-    told = {
+def draw_link_fault(draws: SeededDraws, limiters: int, servers: int) -> Table:
+    to = draws.choice(("server", "server", "counter", "counter", "discovery", "desks"), "to")
+    fault = {
         "do": "link",
-        "limiter": chance.whole(0, limiters - 1, "limiter"),
+        "limiter": draws.integer(0, limiters - 1, "limiter"),
         "to": to,
-        "mode": chance.one(
+        "mode": draws.choice(
             ("delay", "silence", "silence", "reset", "trickle", "truncate", "garbage", "refuse"), "mode"
         ),
-        "for_s": chance.between(1, 6, "for"),
-        "byte": chance.whole(1, 200, "byte"),
-        "delay_ms": chance.between(5, 300, "delay"),
+        "for_s": draws.uniform(1, 6, "for"),
+        "byte": draws.integer(1, 200, "byte"),
+        "delay_ms": draws.uniform(5, 300, "delay"),
     }
-    return told | ({"server": chance.whole(0, servers - 1, "server")} if to == "server" else {})
+    return fault | ({"server": draws.integer(0, servers - 1, "server")} if to == "server" else {})
 
 
-def limiter(chance: Chance, limiters: int) -> Table:
+def draw_limiter_fault(draws: SeededDraws, limiters: int) -> Table:
     return {
         "do": "limiter",
-        "limiter": chance.whole(0, limiters - 1, "limiter"),
-        "signal": chance.one(("KILL", "KILL", "TERM", "TERM", "STOP", "HUP"), "signal"),
-        "back_s": chance.between(0.3, 3.0, "back"),
+        "limiter": draws.integer(0, limiters - 1, "limiter"),
+        "signal": draws.choice(("KILL", "KILL", "TERM", "TERM", "STOP", "HUP"), "signal"),
+        "back_s": draws.uniform(0.3, 3.0, "back"),
     }
 
 
-def servers_of(chance: Chance, what: str) -> Table:
-    share = chance.between(0.05, 0.2, "share")
-    if what == "kill":
-        replaced = chance.part("replaced") < 0.4
-        return {"do": "kill", "share": share, "back_s": chance.between(1, 8, "back"), "replaced": replaced}
-    if what == "slow":
-        return {"do": "slow", "share": share, "for_s": chance.between(3, 10, "for")}
+def draw_server_fault(draws: SeededDraws, kind: str) -> Table:
+    share = draws.uniform(0.05, 0.2, "share")
+    if kind == "kill":
+        replaced = draws.fraction("replaced") < 0.4
+        return {"do": "kill", "share": share, "back_s": draws.uniform(1, 8, "back"), "replaced": replaced}
+    if kind == "slow":
+        return {"do": "slow", "share": share, "for_s": draws.uniform(3, 10, "for")}
     return {
         "do": "drain",
-        "share": chance.between(0.05, 0.35, "drained"),
-        "for_s": chance.between(2, 8, "for"),
+        "share": draws.uniform(0.05, 0.35, "drained"),
+        "for_s": draws.uniform(2, 8, "for"),
     }
 
 
-def trouble(chance: Chance, limiters: int, servers: int, peers: bool) -> Table:
-    kinds: dict[str, tuple[int, Callable[[], Table]]] = {
+def draw_fault(draws: SeededDraws, limiters: int, servers: int, peers: bool) -> Table:
+    fault_kinds: dict[str, tuple[int, Callable[[], Table]]] = {
         "burst": (
             3,
             lambda: {
                 "do": "burst",
-                "len_s": chance.between(2, 7, "len"),
-                "times": chance.between(1.4, 2.3, "times"),
+                "len_s": draws.uniform(2, 7, "len"),
+                "times": draws.uniform(1.4, 2.3, "times"),
             },
         ),
-        "kill": (3, lambda: servers_of(chance, "kill")),
-        "slow": (3, lambda: servers_of(chance, "slow")),
-        "drain": (2, lambda: servers_of(chance, "drain")),
-        "limiter": (3, lambda: limiter(chance, limiters)),
-        "counter": (4, lambda: counter(chance, limiters)),
+        "kill": (3, lambda: draw_server_fault(draws, "kill")),
+        "slow": (3, lambda: draw_server_fault(draws, "slow")),
+        "drain": (2, lambda: draw_server_fault(draws, "drain")),
+        "limiter": (3, lambda: draw_limiter_fault(draws, limiters)),
+        "counter": (4, lambda: draw_counter_fault(draws, limiters)),
         "discovery": (
             2,
             lambda: {
                 "do": "discovery",
-                "mode": chance.one(("silent", "down"), "mode"),
-                "for_s": chance.between(2, 10, "for"),
+                "mode": draws.choice(("silent", "down"), "mode"),
+                "for_s": draws.uniform(2, 10, "for"),
             },
         ),
-        "link": (5, lambda: link(chance, limiters, servers)),
+        "link": (5, lambda: draw_link_fault(draws, limiters, servers)),
         "rude": (
             1,
             lambda: {
                 "do": "rude",
-                "each_s": chance.between(5, 40, "each"),
-                "for_s": chance.between(2, 8, "for"),
+                "each_s": draws.uniform(5, 40, "each"),
+                "for_s": draws.uniform(2, 8, "for"),
             },
         ),
         "peers": (
             1 if peers else 0,
-            lambda: {"do": "peers", "for_s": chance.between(1, 8, "for"), "sides": sides(chance, limiters)},
+            lambda: {
+                "do": "peers",
+                "for_s": draws.uniform(1, 8, "for"),
+                "sides": draw_sides(draws, limiters),
+            },
         ),
     }
-    names = [name for name, (weight, _) in kinds.items() for _ in range(weight)]
-    return kinds[chance.one(names, "kind")][1]()
+    names = [name for name, (weight, _) in fault_kinds.items() for _ in range(weight)]
+    return fault_kinds[draws.choice(names, "kind")][1]()
 
 
-def allowed_over(troubles: Sequence[Table]) -> float:
-    """What the day's quota rule allows: a fixed share, and more for each trouble that hides spends."""
-    over = QUOTA_OVER
-    for told in troubles:
-        over += SPLITS if told.get("mode") == "split" else HIDES.get(told["do"], 0.0)
-    return round(over, 2)
+def quota_tolerance(faults: Sequence[Table]) -> float:
+    """Return the share by which the quota rule of a day with these faults lets a quota be exceeded."""
+    tolerance = BASE_QUOTA_TOLERANCE
+    for fault in faults:
+        tolerance += (
+            SPLIT_TOLERANCE if fault.get("mode") == "split" else TOLERANCE_BY_FAULT.get(fault["do"], 0.0)
+        )
+    return round(tolerance, 2)
 
 
-def table(seed: int, length_s: float = 24.0) -> Table:
-    """The day of a seed as the table of a plan, ``length_s`` seconds long."""
-    chance = Chance(seed)
+def plan_table(seed: int, length_s: float = 24.0) -> Table:
+    """Draw the day of a seed, ``length_s`` seconds long, as a plan's table."""
+    draws = SeededDraws(seed)
     limiters, servers, cores = (
-        chance.whole(2, 4, "limiters"),
-        chance.whole(5, 14, "servers"),
-        chance.whole(1, 2, "cores"),
+        draws.integer(2, 4, "limiters"),
+        draws.integer(5, 14, "servers"),
+        draws.integer(1, 2, "cores"),
     )
-    peers = chance.part("peers") < 0.5
-    load = chance.between(0.4, 1.1, "load")
+    peers = draws.fraction("peers") < 0.5
+    load = draws.uniform(0.4, 1.1, "load")
     load_ms = load * servers * cores * 1000
-    many = min(MOST_TROUBLES, chance.whole(0, MOST_TROUBLES + 1, "troubles"))
-    close, from_s = chance.part("close") < 0.5, chance.between(0.1, 0.6, "from") * length_s
-    troubles = []
-    for n in range(many):
-        own = chance.of("trouble", n)
-        told = trouble(own, limiters, servers, peers)
-        low, high = (from_s, from_s + CLOSE_S) if close else (0.05 * length_s, 0.85 * length_s)
-        troubles.append(told | {"at_s": own.between(low, high, "at")})
-    bursts = [{k: v for k, v in told.items() if k != "do"} for told in troubles if told["do"] == "burst"]
+    count = min(MAX_FAULTS, draws.integer(0, MAX_FAULTS + 1, "troubles"))
+    clustered, cluster_start_s = draws.fraction("close") < 0.5, draws.uniform(0.1, 0.6, "from") * length_s
+    faults = []
+    for n in range(count):
+        own_draws = draws.child("trouble", n)
+        fault = draw_fault(own_draws, limiters, servers, peers)
+        low, high = (
+            (cluster_start_s, cluster_start_s + FAULT_CLUSTER_S)
+            if clustered
+            else (0.05 * length_s, 0.85 * length_s)
+        )
+        faults.append(fault | {"at_s": own_draws.uniform(low, high, "at")})
+    bursts = [{k: v for k, v in fault.items() if k != "do"} for fault in faults if fault["do"] == "burst"]
     return {
-        "title": f"drawn day {seed}: load {load:.2f}, {many} trouble{'s' * (many != 1)}",
+        "title": f"drawn day {seed}: load {load:.2f}, {count} trouble{'s' * (count != 1)}",
         "length_s": length_s,
         "fleet": {
             "servers": servers,
             "cores": cores,
-            "queue_per_core": chance.whole(4, 16, "queue"),
-            "error_share": chance.one((0.0, 0.0, 0.0, 0.02), "errors"),
-            "zones": chance.whole(1, 3, "zones"),
-            "cold_s": chance.between(3, 10, "cold"),
+            "queue_per_core": draws.integer(4, 16, "queue"),
+            "error_share": draws.choice((0.0, 0.0, 0.0, 0.02), "errors"),
+            "zones": draws.integer(1, 3, "zones"),
+            "cold_s": draws.uniform(3, 10, "cold"),
         },
         "limiters": {"count": limiters},
         "counter": {
-            "parts": chance.whole(1, 4, "parts"),
-            "timeout_ms": chance.one((15.0, 30.0, 60.0), "timeout"),
-            "lost_share": chance.one((0.0, 0.0, 0.0, 0.02), "lost"),
+            "parts": draws.integer(1, 4, "parts"),
+            "timeout_ms": draws.choice((15.0, 30.0, 60.0), "timeout"),
+            "lost_share": draws.choice((0.0, 0.0, 0.0, 0.02), "lost"),
         },
-        "peers": {"allowed": peers, "loss": chance.between(0.0, 0.1, "loss")},
-        "arrivals": {"shape": chance.one(("steady", "wave", "ramp"), "shape"), "burst": bursts},
+        "peers": {"allowed": peers, "loss": draws.uniform(0.0, 0.1, "loss")},
+        "arrivals": {"shape": draws.choice(("steady", "wave", "ramp"), "shape"), "burst": bursts},
         "clients": {
-            "retries": chance.whole(0, 4, "retries"),
-            "backoff_ms": chance.between(30, 200, "backoff"),
-            "honour": chance.one((0.0, 0.8, 1.0), "honour"),
-            "dribble": chance.one((0.0, 0.0, 0.05), "dribble"),
+            "retries": draws.integer(0, 4, "retries"),
+            "backoff_ms": draws.uniform(30, 200, "backoff"),
+            "honour": draws.choice((0.0, 0.8, 1.0), "honour"),
+            "dribble": draws.choice((0.0, 0.0, 0.05), "dribble"),
         },
-        "judge": {"quota_over": allowed_over(troubles)},
-        "desk": desks(chance, limiters, load_ms, length_s),
-        "fault": [told for told in troubles if told["do"] != "burst"],
+        "judge": {"quota_over": quota_tolerance(faults)},
+        "desk": draw_desks(draws, limiters, load_ms, length_s),
+        "fault": [fault for fault in faults if fault["do"] != "burst"],
     }
 
 
-def written(told: Table) -> str:
-    """A plan's table as TOML. That has no null: a key without a value is left out, which means the same."""
+def to_toml(table: Table) -> str:
+    """Return a plan's table as TOML.
+
+    TOML has no null, so keys without a value are left out, which means the same.
+    """
 
-    def valued(inner: Any) -> Any:
-        if isinstance(inner, dict):
-            return {key: valued(value) for key, value in inner.items() if value is not None}
-        return [valued(value) for value in inner] if isinstance(inner, list | tuple) else inner
+    def without_nulls(item: Any) -> Any:
+        if isinstance(item, dict):
+            return {key: without_nulls(value) for key, value in item.items() if value is not None}
+        return [without_nulls(value) for value in item] if isinstance(item, list | tuple) else item
 
-    return tomli_w.dumps(valued(told))
+    return tomli_w.dumps(without_nulls(table))
--- a/hookport/emulator/experiment.py
+++ b/hookport/emulator/experiment.py
@@ -1,10 +1,10 @@
-"""Experiments: what a setting, a constant or a build is worth, over many days, with its noise.
+"""Experiments: the effect of a setting, a constant or a build on the score, over many days.
 
-A file in TOML names factors and their levels, days and seeds; every combination is played in the whole
-depth, in a process of its own. Levels are compared on the same days and seeds (common random numbers), so
-what is told is the mean of paired differences against the first level of each factor, with the interval
-that holds it 95 times in 100 (Student's t) and the pairs that would be needed to tell 0.005. Each result is
-a line of a file as soon as it is there: an experiment that was interrupted goes on where it was.
+A TOML file names factors and their levels, days and seeds. Every combination runs in virtual time, in a
+process of its own. Levels are compared on the same days and seeds (common random numbers): the result is the
+mean of the paired differences against the first level of each factor, with its 95 % confidence interval
+(Student's t), and the number of pairs needed to detect a difference of 0.005. Each result is appended to a
+file as soon as it is known, so an interrupted experiment can continue.
 """
 
 from __future__ import annotations
@@ -27,20 +27,21 @@
 from hookport.rehearsal import plan as plans
 
 Table = dict[str, Any]
-MOST_RUNS = 100_000
-TELL = 0.005  # a difference of scores that is worth telling apart
+MAX_RUNS = 100_000
+RELEVANT_GAIN = 0.005  # the smallest difference of scores that an experiment should detect
 ROOT = Path(__file__).resolve().parents[2]
 
 
 class ExperimentError(Exception):
-    """An experiment that cannot be played: file, key and what would do, in one line."""
+    """An experiment cannot be executed; the message names file, key and what is allowed in one line."""
 
 
 class Factor(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What is varied; the first level is what others are compared with.
+    """A value to vary; the other levels are compared with the first.
 
-    One of ``constant`` (a module's constant by its full name), ``plan`` (a plan's key, with dots and
-    indexes) and ``build`` (True: the levels are folders of source trees)."""
+    Exactly one of ``constant`` (the dotted name of a module's constant), ``plan`` (a plan's key, with dots
+    and indexes) and ``build`` (True: the levels are folders of source trees) is set.
+    """
 
     name: Annotated[str, Meta(min_length=1, max_length=40)]
     levels: Annotated[tuple[float | int | str | bool, ...], Meta(min_length=2, max_length=64)]
@@ -50,32 +51,38 @@
 
 
 class Experiment(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A whole experiment.
+    """An experiment file.
 
-    ``design``: ``each`` varies one factor at a time from the first levels, ``grid`` plays all combinations,
-    ``random`` draws ``samples`` of them. ``days`` are the seeds of drawn days, from the first to the last."""
+    ``design``: ``each`` varies one factor at a time from the first levels, ``grid`` runs all combinations,
+    ``random`` draws ``samples`` of them. ``days`` are the seeds of the random days, first and last. ``seeds``
+    are those of the ``plans``, first and last. ``length_s`` is the length of random days; plans have their
+    own. ``seed`` is that of the random design.
+    """
 
     title: Annotated[str, Meta(min_length=1, max_length=120)]
     factor: Annotated[tuple[Factor, ...], Meta(min_length=1, max_length=32)]
     plans: tuple[str, ...] = ()
     days: tuple[Annotated[int, Meta(ge=0)], Annotated[int, Meta(ge=0)]] | None = None
-    seeds: tuple[Annotated[int, Meta(ge=0)], Annotated[int, Meta(ge=0)]] = (1, 4)  # of the plans
-    length_s: Annotated[float, Meta(ge=4, le=600)] = 24.0  # of drawn days; plans keep their own
+    seeds: tuple[Annotated[int, Meta(ge=0)], Annotated[int, Meta(ge=0)]] = (1, 4)
+    length_s: Annotated[float, Meta(ge=4, le=600)] = 24.0
     design: Literal["each", "grid", "random"] = "each"
     samples: Annotated[int, Meta(ge=2, le=10_000)] = 20
-    seed: Annotated[int, Meta(ge=0)] = 1  # of the random design
+    seed: Annotated[int, Meta(ge=0)] = 1
 
 
-Cell = tuple[int, ...]  # a level of each factor, by its position
+Cell = tuple[int, ...]  # for each factor the index of its level
 
 
 class Run(Struct, frozen=True, kw_only=True):
-    """One day under one combination; ``day`` names it, ``seed`` is that of its draws."""
+    """The result of one day with one combination of levels.
+
+    ``day`` is a plan, or ``drawn`` for a random day; ``code`` is the digest of the sources that ran it.
+    """
 
     cell: Cell
     day: str
     seed: int
-    code: str = ""  # what the sources were: see code_of
+    code: str = ""
     score: float = 0.0
     figures: dict[str, float] = {}
     broken: tuple[str, ...] = ()
@@ -89,57 +96,60 @@
 def load(path: str) -> Experiment:
     """Read and check an experiment; raises ExperimentError."""
     try:
-        told = msgspec.toml.decode(Path(path).read_bytes(), type=Experiment)
+        spec = msgspec.toml.decode(Path(path).read_bytes(), type=Experiment)
     except OSError as error:
         raise ExperimentError(f"{path}: cannot be read: {error.strerror}") from error
     except msgspec.ValidationError as error:
         raise ExperimentError(f"{path}: {plans.explain(str(error))}") from error
     except (msgspec.DecodeError, ValueError) as error:
         raise ExperimentError(f"{path}: not TOML: {error}") from error
-    for place, why in problems(told):
-        raise ExperimentError(f"{path}: {place}: {why}")
-    return told
+    for place, reason in find_problems(spec):
+        raise ExperimentError(f"{path}: {place}: {reason}")
+    return spec
 
 
-def problems(told: Experiment) -> Iterator[tuple[str, str]]:
-    """What no single key can tell, each with its place and what would do."""
-    names = [factor.name for factor in told.factor]
-    for n, factor in enumerate(told.factor):
-        at = f"factor[{n}]"
+def find_problems(spec: Experiment) -> Iterator[tuple[str, str]]:
+    """Yield the problems that no single key shows, each with its key and what is allowed."""
+    names = [factor.name for factor in spec.factor]
+    for n, factor in enumerate(spec.factor):
+        place = f"factor[{n}]"
         if factor.name in names[:n]:
-            yield f"{at}.name", f"{factor.name!r} stands twice; give each its own name"
+            yield f"{place}.name", f"{factor.name!r} is used twice; names must be unique"
         if bool(factor.constant) + bool(factor.plan) + factor.build != 1:
-            yield at, "write one of constant = ..., plan = ... and build = true"
+            yield place, "write exactly one of constant = ..., plan = ... and build = true"
         if len(set(map(repr, factor.levels))) < len(factor.levels):
-            yield f"{at}.levels", "a level stands twice; take one out"
+            yield f"{place}.levels", "levels must be unique"
         if factor.constant:
-            yield from constant_problems(factor, at)
+            yield from constant_problems(factor, place)
         if factor.build:
             for folder in factor.levels:
                 if not (Path(str(folder)) / "aniseshed" / "policy.py").is_file():
-                    yield f"{at}.levels", f"{folder}: no source tree with aniseshed/policy.py"
-    if not told.plans and not told.days:
-        yield "plans", "name plans, or days = [first, last], or both"
-    for place, pair in (("days", told.days), ("seeds", told.seeds)):
+                    yield f"{place}.levels", f"{folder}: not a source tree, aniseshed/policy.py is missing"
+    if not spec.plans and not spec.days:
+        yield "plans", "write plans = [...], days = [first, last], or both"
+    for place, pair in (("days", spec.days), ("seeds", spec.seeds)):
         if pair and pair[0] > pair[1]:
-            yield place, f"the range runs from {pair[0]} down to {pair[1]}; write the smaller first"
-    for name in told.plans:
+            yield place, f"the range goes from {pair[0]} down to {pair[1]}; write the smaller number first"
+    for name in spec.plans:
         try:
             plan = plans.load(name)
         except plans.PlanError as error:
             yield "plans", str(error)
             continue
-        for n, factor in enumerate(told.factor):
+        for n, factor in enumerate(spec.factor):
             for level in factor.levels if factor.plan else ():
                 try:
-                    with_key(msgspec.to_builtins(plan), factor.plan, level, name)
+                    set_plan_key(msgspec.to_builtins(plan), factor.plan, level, name)
                 except plans.PlanError as error:
                     yield f"factor[{n}].plan", str(error)
-    if (many := len(cells(told)) * len(list(chosen_days(told)))) > MOST_RUNS:
-        yield "design", f'{many} runs; {MOST_RUNS} at most: fewer levels, days or seeds, or design = "random"'
+    if (run_count := len(cells(spec)) * len(list(days_with_seeds(spec)))) > MAX_RUNS:
+        yield (
+            "design",
+            f'{run_count} runs; at most {MAX_RUNS}: use fewer levels, days or seeds, or design = "random"',
+        )
 
 
-def constant_problems(factor: Factor, at: str) -> Iterator[tuple[str, str]]:
+def constant_problems(factor: Factor, place: str) -> Iterator[tuple[str, str]]:
     for candidate in (factor.constant, *renamed_constants.other_names(factor.constant)):
         module, _, name = candidate.rpartition(".")
         try:
@@ -149,141 +159,152 @@
         break
     else:
         yield (
-            f"{at}.constant",
-            f"{factor.constant}: no such constant; write it like aniseshed.policy.MAX_QUOTA_WAIT_SHARE",
+            f"{place}.constant",
+            f"{factor.constant}: no such constant; write a name like aniseshed.policy.MAX_QUOTA_WAIT_SHARE",
         )
         return
     if not isinstance(value, int | float):
-        yield f"{at}.constant", f"{factor.constant} is no number but {type(value).__name__}"
+        yield f"{place}.constant", f"{factor.constant} is not a number but {type(value).__name__}"
     for level in factor.levels:
         if not isinstance(level, int | float):
-            yield f"{at}.levels", f"{level!r} is no number, as {factor.constant} is"
+            yield f"{place}.levels", f"{level!r} is not a number, unlike {factor.constant}"
 
 
-def with_key(told: Table, key: str, value: Any, name: str) -> Table:
-    """A plan's table with another value at a key like ``clients.retries`` or ``fault.0.for_s``; checked."""
-    inner: Any = told
+def set_plan_key(table: Table, key: str, value: Any, name: str) -> Table:
+    """Set a key such as ``clients.retries`` or ``fault.0.for_s`` in a plan's table and return the table.
+
+    Raises PlanError if there is no such key, or if the plan is then invalid.
+    """
+    container: Any = table
     *path, last = key.split(".")
-    for part in path:
+    for path_key in path:
         try:
-            inner = inner[int(part)] if isinstance(inner, list | tuple) else inner[part]
+            container = (
+                container[int(path_key)] if isinstance(container, list | tuple) else container[path_key]
+            )
         except (KeyError, IndexError, ValueError):
-            raise plans.PlanError(f"{name}: {key}: there is no {part!r} there") from None
-    if isinstance(inner, list | tuple):
-        first = f"{key.rsplit('.', 1)[0]}.0"
-        raise plans.PlanError(f"{name}: {key}: name a key of one of its items, like those of {first}")
-    inner[last] = value
-    plans.build(told, name)
-    return told
-
-
-def cells(told: Experiment) -> list[Cell]:
-    """The combinations to play, that of the first levels first."""
-    sizes = [len(factor.levels) for factor in told.factor]
-    base = tuple(0 for _ in sizes)
-    if told.design == "each":
-        return [base] + [
+            raise plans.PlanError(f"{name}: {key}: no such key: {path_key!r}") from None
+    if isinstance(container, list | tuple):
+        example = f"{key.rsplit('.', 1)[0]}.0"
+        raise plans.PlanError(
+            f"{name}: {key}: this is a list; name a key of one of its items, such as {example}"
+        )
+    container[last] = value
+    plans.build(table, name)
+    return table
+
+
+def cells(spec: Experiment) -> list[Cell]:
+    """Return the combinations to run, beginning with that of the first levels."""
+    sizes = [len(factor.levels) for factor in spec.factor]
+    base_cell = tuple(0 for _ in sizes)
+    if spec.design == "each":
+        return [base_cell] + [
             tuple(level if i == n else 0 for i in range(len(sizes)))
             for n, size in enumerate(sizes)
             for level in range(1, size)
         ]
-    if told.design == "grid":
+    if spec.design == "grid":
         return list(itertools.product(*map(range, sizes)))
-    chance = random.Random(told.seed)  # Mersenne Twister: the same draws on every machine
-    drawn = dict.fromkeys([base])
-    for _ in range(20 * told.samples):
-        if len(drawn) >= min(told.samples, math.prod(sizes)):
+    rng = random.Random(spec.seed)  # Mersenne Twister: the same draws on every machine
+    drawn = dict.fromkeys([base_cell])
+    for _ in range(20 * spec.samples):
+        if len(drawn) >= min(spec.samples, math.prod(sizes)):
             break
-        drawn[tuple(chance.randrange(size) for size in sizes)] = None
+        drawn[tuple(rng.randrange(size) for size in sizes)] = None
     return list(drawn)
 
 
-def chosen_days(told: Experiment) -> Iterator[tuple[str, int]]:
-    """Each day by name with the seed of its draws."""
-    for name in told.plans:
-        for seed in range(told.seeds[0], told.seeds[1] + 1):
+def days_with_seeds(spec: Experiment) -> Iterator[tuple[str, int]]:
+    """Yield each day as its plan, or ``drawn`` for a random day, with its seed."""
+    for name in spec.plans:
+        for seed in range(spec.seeds[0], spec.seeds[1] + 1):
             yield name, seed
-    if told.days:
-        for seed in range(told.days[0], told.days[1] + 1):
+    if spec.days:
+        for seed in range(spec.days[0], spec.days[1] + 1):
             yield "drawn", seed
 
 
-def plan_of(told: Experiment, day: str, seed: int, cell: Cell) -> Table:
-    """The plan's table of a run; raises PlanError."""
-    table = days.table(seed, told.length_s) if day == "drawn" else msgspec.to_builtins(plans.load(day))
-    for factor, level in zip(told.factor, cell, strict=True):
+def plan_table(spec: Experiment, day: str, seed: int, cell: Cell) -> Table:
+    """Return the plan of a run as a table; raises PlanError if it is invalid."""
+    table = days.plan_table(seed, spec.length_s) if day == "drawn" else msgspec.to_builtins(plans.load(day))
+    for factor, level in zip(spec.factor, cell, strict=True):
         if factor.plan:
-            table = with_key(table, factor.plan, factor.levels[level], day)
+            table = set_plan_key(table, factor.plan, factor.levels[level], day)
     return table
 
 
-def constants_of(told: Experiment, cell: Cell) -> dict[str, Any]:
-    """The constants that a combination sets, by full name; numbers, as ``constant_problems`` has seen to."""
-    return {f.constant: f.levels[n] for f, n in zip(told.factor, cell, strict=True) if f.constant}
+def constant_values(spec: Experiment, cell: Cell) -> dict[str, Any]:
+    """Return the values of the constants that a combination sets, by dotted name."""
+    return {f.constant: f.levels[n] for f, n in zip(spec.factor, cell, strict=True) if f.constant}
 
 
-def build_of(told: Experiment, cell: Cell) -> Path:
-    for factor, level in zip(told.factor, cell, strict=True):
+def build_folder(spec: Experiment, cell: Cell) -> Path:
+    for factor, level in zip(spec.factor, cell, strict=True):
         if factor.build:
             return Path(str(factor.levels[level])).resolve()
     return ROOT
 
 
-def code_of(folder: Path) -> str:
-    """What two source trees share only if the daemon and its module are alike to the last byte."""
-    summed = hashlib.sha256()
+def source_digest(folder: Path) -> str:
+    """Return a digest of all Python files of the daemon and the decision module in a source tree."""
+    digest = hashlib.sha256()
     for path in sorted([*(folder / "aniseshed").rglob("*.py"), *(folder / "hookport").rglob("*.py")]):
-        summed.update(str(path.relative_to(folder)).encode() + b"\0" + path.read_bytes() + b"\0")
-    return summed.hexdigest()[:16]
+        digest.update(str(path.relative_to(folder)).encode() + b"\0" + path.read_bytes() + b"\0")
+    return digest.hexdigest()[:16]
 
 
-# What came of it
+# Results
 
 
 class Effect(Struct, frozen=True, kw_only=True):
-    """One combination against that of the first levels, on the same days and seeds.
+    """The difference between one combination and that of the first levels, on the same days and seeds.
 
-    ``gain`` is the mean of the paired differences with its interval; ``needed`` the pairs that would tell
-    TELL, by the spread seen; ``worst`` the day on which it loses most, by how much."""
+    ``gain`` is the mean of the paired differences with its confidence interval. ``needed`` is the number of
+    pairs that would detect RELEVANT_GAIN at the observed standard deviation. ``worst`` is the day with the
+    lowest difference, and the difference. ``broke`` is the number of days on which a rule was broken.
+    """
 
     cell: Cell
     gain: compare.PairedDifference
     needed: int
     worst: tuple[str, float]
-    broke: int  # days on which it broke a rule
+    broke: int
 
 
-def effects(told: Experiment, runs: Sequence[Run], metric: str = "score") -> list[Effect]:
-    """Each combination against the first, over the days that both have played without an error."""
+def compute_effects(spec: Experiment, runs: Sequence[Run], metric: str = "score") -> list[Effect]:
+    """Compare each combination with the first, over the days that both completed without an error."""
     by_key = {run.key: run for run in runs if not run.error}
-    base, *others = cells(told)
+    base_cell, *others = cells(spec)
     result = []
     for cell in others:
-        both = [day for day in chosen_days(told) if (cell, *day) in by_key and (base, *day) in by_key]
-        if not both:
+        shared_days = [
+            day for day in days_with_seeds(spec) if (cell, *day) in by_key and (base_cell, *day) in by_key
+        ]
+        if not shared_days:
             continue
-        own = [value_of(by_key[cell, day, seed], metric) for day, seed in both]
-        first = [value_of(by_key[base, day, seed], metric) for day, seed in both]
-        gains = [a - b for a, b in zip(own, first, strict=True)]
+        cell_values = [metric_value(by_key[cell, day, seed], metric) for day, seed in shared_days]
+        base_values = [metric_value(by_key[base_cell, day, seed], metric) for day, seed in shared_days]
+        gains = [a - b for a, b in zip(cell_values, base_values, strict=True)]
         spread = statistics.stdev(gains) if len(gains) > 1 else 0.0
-        least = min(range(len(gains)), key=gains.__getitem__)
+        worst_index = min(range(len(gains)), key=gains.__getitem__)
         result.append(
             Effect(
                 cell=cell,
-                gain=compare.paired_difference(own, first),
-                needed=math.ceil((1.96 * spread / TELL) ** 2),
-                worst=("{} {}".format(*both[least]), gains[least]),
+                gain=compare.paired_difference(cell_values, base_values),
+                needed=math.ceil((1.96 * spread / RELEVANT_GAIN) ** 2),
+                worst=("{} {}".format(*shared_days[worst_index]), gains[worst_index]),
                 broke=sum(bool(run.broken) for run in runs if run.cell == cell),
             )
         )
     return result
 
 
-def value_of(run: Run, metric: str) -> float:
+def metric_value(run: Run, metric: str) -> float:
     return run.score if metric == "score" else run.figures[metric]
 
 
-def named(told: Experiment, cell: Cell) -> str:
-    """A combination by what differs from the first levels."""
-    parts = [f"{f.name} {f.levels[n]}" for f, n in zip(told.factor, cell, strict=True) if n]
-    return ", ".join(parts) or "all as first"
+def cell_label(spec: Experiment, cell: Cell) -> str:
+    """Describe a combination by the levels that differ from the first ones."""
+    parts = [f"{f.name} {f.levels[n]}" for f, n in zip(spec.factor, cell, strict=True) if n]
+    return ", ".join(parts) or "all first levels"
--- a/hookport/emulator/experiment_page.py
+++ b/hookport/emulator/experiment_page.py
@@ -1,4 +1,4 @@
-"""What an experiment came to: a table, CSV, and one HTML page that needs no network."""
+"""The report of an experiment: a Markdown table, CSV, and one self-contained HTML page."""
 
 from __future__ import annotations
 
@@ -12,27 +12,35 @@
 matplotlib.use("svg")
 import matplotlib.pyplot as plt  # noqa: E402
 
-from hookport.emulator.experiment import TELL, Effect, Experiment, Run, cells, chosen_days, named  # noqa: E402
+from hookport.emulator.experiment import (  # noqa: E402
+    RELEVANT_GAIN,
+    Effect,
+    Experiment,
+    Run,
+    cell_label,
+    cells,
+    days_with_seeds,
+)
 
 STYLE = """body{font:15px/1.5 system-ui,sans-serif;margin:2em auto;max-width:60em;padding:0 1em}
 table{border-collapse:collapse}td,th{padding:.2em .8em;border-bottom:1px solid #ccc;text-align:right}
 td:first-child,th:first-child{text-align:left}svg{max-width:100%;height:auto}"""
-HEADS = (
+COLUMN_TITLES = (
     "combination",
     "against the first",
     "95 %",
     "pairs",
-    f"to tell {TELL:g}",
+    f"to tell {RELEVANT_GAIN:g}",
     "loses most on",
     "broke a rule",
 )
 
 
-def rows(told: Experiment, found: Sequence[Effect]) -> list[tuple[str, ...]]:
-    """The effects as text, the best first."""
+def table_rows(spec: Experiment, effects: Sequence[Effect]) -> list[tuple[str, ...]]:
+    """Return the effects as table rows of text, the largest gain first."""
     return [
         (
-            named(told, effect.cell),
+            cell_label(spec, effect.cell),
             f"{effect.gain.mean:+.4f}" + (" *" if effect.gain.is_significant else ""),
             "" if effect.gain.half_width is None else f"± {effect.gain.half_width:.4f}",
             str(effect.gain.seeds),
@@ -40,46 +48,46 @@
             f"{effect.worst[0]} ({effect.worst[1]:+.3f})",
             str(effect.broke),
         )
-        for effect in sorted(found, key=lambda effect: -effect.gain.mean)
+        for effect in sorted(effects, key=lambda effect: -effect.gain.mean)
     ]
 
 
-def markdown(told: Experiment, runs: Sequence[Run], found: Sequence[Effect]) -> str:
-    """One table; a star stands at what stands out of the noise."""
+def markdown(spec: Experiment, runs: Sequence[Run], effects: Sequence[Effect]) -> str:
+    """Return the report as a Markdown table; a star marks significant differences."""
     lines = [
-        f"# {told.title}",
+        f"# {spec.title}",
         "",
-        summary(told, runs),
+        summarize(spec, runs),
         "",
-        "| " + " | ".join(HEADS) + " |",
-        "|" + " --- |" * len(HEADS),
+        "| " + " | ".join(COLUMN_TITLES) + " |",
+        "|" + " --- |" * len(COLUMN_TITLES),
     ]
-    lines += ["| " + " | ".join(row) + " |" for row in rows(told, found)]
+    lines += ["| " + " | ".join(row) + " |" for row in table_rows(spec, effects)]
     return "\n".join(lines) + "\n"
 
 
-def summary(told: Experiment, runs: Sequence[Run]) -> str:
-    """What was played, in words."""
-    base = cells(told)[0]
-    scores = [run.score for run in runs if run.cell == base and not run.error]
+def summarize(spec: Experiment, runs: Sequence[Run]) -> str:
+    """Return a sentence on the runs and on the score of the first combination."""
+    base_cell = cells(spec)[0]
+    scores = [run.score for run in runs if run.cell == base_cell and not run.error]
     failed = sum(bool(run.error) for run in runs)
     mean = sum(scores) / len(scores) if scores else 0.0
-    first = ", ".join(f"{factor.name} {factor.levels[0]}" for factor in told.factor)
-    note = f"; {failed} runs ended in an error and are left out" if failed else ""
+    first = ", ".join(f"{factor.name} {factor.levels[0]}" for factor in spec.factor)
+    failure_note = f"; {failed} runs failed and are left out" if failed else ""
     return (
-        f"{len(runs)} runs over {len(list(chosen_days(told)))} days. The first combination ({first}) scores "
-        f"{mean:.4f} on the mean{note}."
+        f"{len(runs)} runs over {len(list(days_with_seeds(spec)))} days. The first combination ({first}) has "
+        f"the mean score {mean:.4f}{failure_note}."
     )
 
 
-def as_csv(told: Experiment, runs: Sequence[Run]) -> str:
-    """Every run as a line: the levels, the day, the seed, the score and the figures beside it."""
+def as_csv(spec: Experiment, runs: Sequence[Run]) -> str:
+    """Return all runs as CSV: levels, day, seed, score and the other figures."""
     figures = sorted({name for run in runs for name in run.figures})
     out = io.StringIO()
     writer = csv.writer(out, lineterminator="\n")
-    writer.writerow([*(f.name for f in told.factor), "day", "seed", "score", *figures, "broken", "error"])
+    writer.writerow([*(f.name for f in spec.factor), "day", "seed", "score", *figures, "broken", "error"])
     for run in sorted(runs, key=lambda run: run.key):
-        levels = [f.levels[n] for f, n in zip(told.factor, run.cell, strict=True)]
+        levels = [f.levels[n] for f, n in zip(spec.factor, run.cell, strict=True)]
         writer.writerow(
             [
                 *levels,
@@ -94,94 +102,94 @@
     return out.getvalue()
 
 
-def svg(figure: plt.Figure) -> str:  # type: ignore[name-defined]
+def to_svg(figure: plt.Figure) -> str:  # type: ignore[name-defined]
     out = io.StringIO()
     figure.savefig(out, format="svg", bbox_inches="tight", metadata={"Date": None})
     plt.close(figure)
     return out.getvalue()[out.getvalue().index("<svg") :]
 
 
-def curves(told: Experiment, found: Sequence[Effect]) -> list[str]:
-    """For each factor alone: the difference by level, with its band."""
+def plot_factors(spec: Experiment, effects: Sequence[Effect]) -> list[str]:
+    """Plot for each factor that is varied alone the difference by level, with its confidence band."""
     plots = []
-    for n, factor in enumerate(told.factor):
-        alone = {
-            e.cell[n]: e for e in found if e.cell[n] and not any(x for i, x in enumerate(e.cell) if i != n)
+    for n, factor in enumerate(spec.factor):
+        effect_by_level = {
+            e.cell[n]: e for e in effects if e.cell[n] and not any(x for i, x in enumerate(e.cell) if i != n)
         }
-        if not alone:
+        if not effect_by_level:
             continue
         points = [(factor.levels[0], 0.0, 0.0)] + [
             (factor.levels[level], effect.gain.mean, effect.gain.half_width or 0.0)
-            for level, effect in sorted(alone.items())
+            for level, effect in sorted(effect_by_level.items())
         ]
         numeric = all(
             isinstance(level, int | float) and not isinstance(level, bool) for level, _, _ in points
         )
         if numeric:
             points.sort()
-        at = [level if numeric else i for i, (level, _, _) in enumerate(points)]
+        positions = [level if numeric else i for i, (level, _, _) in enumerate(points)]
         figure, axes = plt.subplots(figsize=(5, 2.6))
-        mean, half = [p[1] for p in points], [p[2] for p in points]
+        means, half_widths = [p[1] for p in points], [p[2] for p in points]
         axes.fill_between(
-            at,
-            [m - h for m, h in zip(mean, half, strict=True)],
-            [m + h for m, h in zip(mean, half, strict=True)],
+            positions,
+            [m - h for m, h in zip(means, half_widths, strict=True)],
+            [m + h for m, h in zip(means, half_widths, strict=True)],
             alpha=0.25,
         )
-        axes.plot(at, mean, marker="o")
+        axes.plot(positions, means, marker="o")
         axes.axhline(0, color="gray", linewidth=0.8)
         axes.set(title=factor.name, ylabel="score, against the first")
         if not numeric:
-            axes.set_xticks(at, [str(level) for level, _, _ in points])
-        plots.append(svg(figure))
+            axes.set_xticks(positions, [str(level) for level, _, _ in points])
+        plots.append(to_svg(figure))
     return plots
 
 
-def heat(told: Experiment, found: Sequence[Effect]) -> list[str]:
-    """Of a grid of two factors: the difference at each pair of levels."""
-    if len(told.factor) != 2 or told.design != "grid":
+def heat_map(spec: Experiment, effects: Sequence[Effect]) -> list[str]:
+    """Plot for a grid of two factors the difference at each pair of levels."""
+    if len(spec.factor) != 2 or spec.design != "grid":
         return []
-    across, down = told.factor
-    by_cell = {effect.cell: effect.gain.mean for effect in found} | {(0, 0): 0.0}
+    column_factor, row_factor = spec.factor
+    gain_by_cell = {effect.cell: effect.gain.mean for effect in effects} | {(0, 0): 0.0}
     grid = [
-        [by_cell.get((a, d), float("nan")) for a in range(len(across.levels))]
-        for d in range(len(down.levels))
+        [gain_by_cell.get((a, d), float("nan")) for a in range(len(column_factor.levels))]
+        for d in range(len(row_factor.levels))
     ]
     figure, axes = plt.subplots(figsize=(5, 3.5))
-    most = max((abs(effect.gain.mean) for effect in found), default=1.0) or 1.0
-    image = axes.imshow(grid, cmap="RdYlGn", vmin=-most, vmax=most, aspect="auto")
-    axes.set_xticks(range(len(across.levels)), [str(level) for level in across.levels])
-    axes.set_yticks(range(len(down.levels)), [str(level) for level in down.levels])
-    axes.set(xlabel=across.name, ylabel=down.name, title="score, against the first of both")
+    max_abs_gain = max((abs(effect.gain.mean) for effect in effects), default=1.0) or 1.0
+    image = axes.imshow(grid, cmap="RdYlGn", vmin=-max_abs_gain, vmax=max_abs_gain, aspect="auto")
+    axes.set_xticks(range(len(column_factor.levels)), [str(level) for level in column_factor.levels])
+    axes.set_yticks(range(len(row_factor.levels)), [str(level) for level in row_factor.levels])
+    axes.set(xlabel=column_factor.name, ylabel=row_factor.name, title="score, against the first of both")
     figure.colorbar(image)
-    return [svg(figure)]
+    return [to_svg(figure)]
 
 
-def ranked(told: Experiment, runs: Sequence[Run]) -> str:
-    """The days of the first combination by what they lose of a full score, the worst first."""
-    base = cells(told)[0]
+def plot_days(spec: Experiment, runs: Sequence[Run]) -> str:
+    """Plot the 40 worst days of the first combination by what their score lacks to 1."""
+    base_cell = cells(spec)[0]
     scores = sorted(
-        (run.score, f"{run.day} {run.seed}") for run in runs if run.cell == base and not run.error
+        (run.score, f"{run.day} {run.seed}") for run in runs if run.cell == base_cell and not run.error
     )[:40]
     figure, axes = plt.subplots(figsize=(8, 0.6 + 0.17 * len(scores)))
     axes.barh([name for _, name in scores], [1 - score for score, _ in scores])
     axes.invert_yaxis()
     axes.tick_params(axis="y", labelsize=7)
-    axes.set(title="days by what is lost", xlabel="1 - score")
-    return svg(figure)
+    axes.set(title="worst days", xlabel="1 - score")
+    return to_svg(figure)
 
 
-def page(told: Experiment, runs: Sequence[Run], found: Sequence[Effect]) -> str:
-    """The whole report as one page, plots among it."""
-    head = "".join(f"<th>{html.escape(name)}</th>" for name in HEADS)
+def render_page(spec: Experiment, runs: Sequence[Run], effects: Sequence[Effect]) -> str:
+    """Return the report with its plots as one HTML page."""
+    header_cells = "".join(f"<th>{html.escape(name)}</th>" for name in COLUMN_TITLES)
     body = "".join(
         "<tr>" + "".join(f"<td>{html.escape(text)}</td>" for text in row) + "</tr>"
-        for row in rows(told, found)
+        for row in table_rows(spec, effects)
     )
-    plots = [*curves(told, found), *heat(told, found), ranked(told, runs)]
-    title, words = html.escape(told.title), html.escape(summary(told, runs))
+    plots = [*plot_factors(spec, effects), *heat_map(spec, effects), plot_days(spec, runs)]
+    title, summary = html.escape(spec.title), html.escape(summarize(spec, runs))
     return (
         f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{title}</title><style>{STYLE}</style>'
-        f"<h1>{title}</h1><p>{words} A star stands at what stands out of the noise.</p>"
-        f"<table><tr>{head}</tr>{body}</table>{''.join(plots)}</html>\n"
+        f"<h1>{title}</h1><p>{summary} A star marks significant differences.</p>"
+        f"<table><tr>{header_cells}</tr>{body}</table>{''.join(plots)}</html>\n"
     )
--- a/hookport/emulator/explore.py
+++ b/hookport/emulator/explore.py
@@ -1,9 +1,10 @@
-"""``hookport explore``: play drawn days until a rule breaks, and shrink each such day to the least that does.
+"""``hookport explore``: run random days in virtual time, and shrink each day that breaks a rule.
 
-Days are drawn by seed (or one plan is played at many seeds) and played in the whole depth on all cores. A
-breach is shrunk, written as a plan, and told with the command that plays it again. Of breaches of one kind
-(the same rule, or the same error) one is shrunk. Exit status: 0 nothing broke, 1 something did, 2 bad input,
-130 interrupted; what was found until then is written and told.
+Each day is drawn from a seed (or one plan is run at many seeds); days run in parallel on all cores. A day
+that breaks a rule is shrunk to a smaller plan that still breaks it, written to a file, and printed with the
+command that reproduces it. Of the days with the same kind of failure (the same rule, or the same error) one
+is shrunk. Exit status: 0 no rule was broken, 1 a rule was broken, 2 bad input, 130 interrupted; what was
+found before an interruption is written and printed.
 """
 
 from __future__ import annotations
@@ -28,58 +29,59 @@
 from hookport.rehearsal import judgement, mutants
 from hookport.rehearsal import plan as plans
 
-KEPT, BROKEN, BAD_INPUT, INTERRUPTED = 0, 1, 2, 130
-SHRINK_MOST = 150  # candidates for each finding
-TOLD_EACH_S = 10.0
+EXIT_OK, EXIT_RULE_BROKEN, EXIT_BAD_INPUT, EXIT_SIGINT = 0, 1, 2, 130
+MAX_SHRINK_CANDIDATES = 150  # candidates that are run to shrink one finding
+LOG_INTERVAL_S = 10.0
 log = logging.getLogger("hookport.explore")
 
 
 @dataclass(slots=True, frozen=True)
-class Played:
-    """What one day came to.
+class DayResult:
+    """The result of one day.
 
-    ``kinds`` are the rules it broke or the error it ended in, empty if all is well; ``first`` says the first
-    breach in words, ``score`` is that of the day, 0 where it had none."""
+    ``kinds`` are the rules that it broke or the error in which it ended, empty if it passed. ``first_breach``
+    describes the first breach. ``score`` is 0 if the day ended in an error.
+    """
 
     kinds: tuple[str, ...]
-    first: str
+    first_breach: str
     score: float
-    took_s: float
+    elapsed_s: float
 
 
-def play(told: shrink.Table, seed: int) -> Played:
-    """Play a day, given as a plan's table, in the whole depth; raises PlanError for what is no plan."""
-    plan = plans.build(told, str(told.get("title", "day")))
-    began_s = time.monotonic()
+def play(table: shrink.Table, seed: int) -> DayResult:
+    """Run a day, given as a plan's table, in virtual time; raises PlanError if the plan is invalid."""
+    plan = plans.build(table, str(table.get("title", "day")))
+    start_s = time.monotonic()
     try:
         judged, _ = whole.play_and_judge(plan, seed)
     except (whole.SpinError, whole.StallError, whole.WholeError) as error:
-        # What two errors of one kind share is the kind and where it came from, not the numbers in the text.
+        # The kind must not contain the numbers in the text, which differ between errors of the same kind.
         kind = str(error).split(":")[0] if isinstance(error, whole.WholeError) else type(error).__name__
-        return Played((f"error {kind}",), str(error), 0.0, time.monotonic() - began_s)
-    took_s = time.monotonic() - began_s
+        return DayResult((f"error {kind}",), str(error), 0.0, time.monotonic() - start_s)
+    elapsed_s = time.monotonic() - start_s
     kinds = ("void",) if judged.void else tuple(judged.broken)
-    return Played(kinds, judged.void or first_of(judged), judged.score.score, took_s)
+    return DayResult(kinds, judged.void or describe_first_breach(judged), judged.score.score, elapsed_s)
 
 
-def first_of(judged: judgement.Judgement) -> str:
+def describe_first_breach(judged: judgement.Judgement) -> str:
     if not judged.breaches:
         return ""
     breach = judged.breaches[0]
     return f"{breach.at_ns / 1e9:.1f} s: {breach.rule}: {breach.text}"
 
 
-def still(told: shrink.Table, seed: int, kind: str) -> bool:
-    """Whether a candidate still breaks in that way."""
+def still_fails(table: shrink.Table, seed: int, kind: str) -> bool:
+    """Return whether a candidate is a valid plan and still fails with this kind."""
     try:
-        return kind in play(told, seed).kinds
+        return kind in play(table, seed).kinds
     except plans.PlanError:
         return False
 
 
-def harmed(name: str | None) -> None:
-    """In a process of the pool: be that broken limiter."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is the parent's: it lets days in play end
+def initialize_worker(name: str | None) -> None:
+    """Set up a process of the pool, with the named mutant if there is one."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent handles Ctrl-C and lets running days finish
     logging.getLogger("hookport").setLevel(logging.CRITICAL)
     if name:
         mutants.MUTANTS[name].harm()
@@ -87,110 +89,128 @@
 
 @dataclass(slots=True)
 class Finding:
-    """A breach, and the smallest day that shows it."""
+    """A kind of failure and the smallest day found that shows it."""
 
     kind: str
     seed: int
-    first: str
-    told: shrink.Table
-    asked: int = 0  # candidates that shrinking played
+    first_breach: str
+    table: shrink.Table
+    candidates_tried: int = 0  # while shrinking
     path: Path | None = None
 
 
 @dataclass(slots=True)
-class Explored:
-    """What came of it all."""
+class ExploreResult:
+    """The results of all days."""
 
     scores: list[float] = field(default_factory=list)
-    findings: dict[str, Finding] = field(default_factory=dict)  # of each kind that of the lowest seed
-    seen: dict[str, list[int]] = field(default_factory=dict)  # seeds by kind
-    took_s: float = 0.0
+    findings: dict[str, Finding] = field(default_factory=dict)  # for each kind the one with the lowest seed
+    seeds_by_kind: dict[str, list[int]] = field(default_factory=dict)
+    elapsed_s: float = 0.0
 
 
-def tables(
-    plan: plans.Plan | None, first: int, count: int, length_s: float
+def days_with_seeds(
+    plan: plans.Plan | None, first_seed: int, count: int, length_s: float
 ) -> Iterator[tuple[shrink.Table, int]]:
-    """The days with their seeds, in order of these: drawn, or one plan time and again."""
-    told: shrink.Table = msgspec.to_builtins(plan) if plan else {}
-    for seed in range(first, first + count):
-        yield (told or days.table(seed, length_s)), seed
+    """Yield days with their seeds, in order of the seeds: random days, or the same plan for each seed."""
+    table: shrink.Table = msgspec.to_builtins(plan) if plan else {}
+    for seed in range(first_seed, first_seed + count):
+        yield (table or days.plan_table(seed, length_s)), seed
 
 
 def explore(
-    told: Iterable[tuple[shrink.Table, int]],
+    seeded_days: Iterable[tuple[shrink.Table, int]],
     count: int,
     pool: ProcessPoolExecutor,
     jobs: int,
-    stop: Callable[[float], bool],
-) -> Explored:
-    """Play days until they are over or ``stop``, asked with the seconds since the beginning, says so."""
-    result, began_s, told_s = Explored(), time.monotonic(), 0.0
+    should_stop: Callable[[float], bool],
+) -> ExploreResult:
+    """Run the days until all are done, or ``should_stop``, called with the elapsed seconds, returns true."""
+    result, start_s, reported_s = ExploreResult(), time.monotonic(), 0.0
     log.info("days=%d jobs=%d", count, jobs)
-    for (table, seed), played in run_parallel(
-        pool, play, told, jobs, lambda: stop(time.monotonic() - began_s)
+    for (table, seed), day_result in run_parallel(
+        pool, play, seeded_days, jobs, lambda: should_stop(time.monotonic() - start_s)
     ):
-        taken(result, seed, table, played)
-        result.took_s = time.monotonic() - began_s
-        if result.took_s - told_s >= TOLD_EACH_S:
-            told_s = result.took_s
-            broken = sum(map(len, result.seen.values()))
-            log.info("days=%d of=%d took_s=%.0f broken=%d", len(result.scores), count, told_s, broken)
+        add_result(result, seed, table, day_result)
+        result.elapsed_s = time.monotonic() - start_s
+        if result.elapsed_s - reported_s >= LOG_INTERVAL_S:
+            reported_s = result.elapsed_s
+            broken = sum(map(len, result.seeds_by_kind.values()))
+            log.info("days=%d of=%d took_s=%.0f broken=%d", len(result.scores), count, reported_s, broken)
     return result
 
 
-def taken(result: Explored, seed: int, table: shrink.Table, played: Played) -> None:
-    result.scores.append(played.score)
-    for kind in played.kinds:
-        result.seen.setdefault(kind, []).append(seed)
-        known = result.findings.get(kind)
-        if known is None:
-            log.info("found kind=%r seed=%d first=%r", kind, seed, played.first)
-        if known is None or seed < known.seed:  # whichever process was faster
-            result.findings[kind] = Finding(kind, seed, played.first, table)
+def add_result(result: ExploreResult, seed: int, table: shrink.Table, day_result: DayResult) -> None:
+    result.scores.append(day_result.score)
+    for kind in day_result.kinds:
+        result.seeds_by_kind.setdefault(kind, []).append(seed)
+        finding = result.findings.get(kind)
+        if finding is None:
+            log.info("found kind=%r seed=%d first=%r", kind, seed, day_result.first_breach)
+        if finding is None or seed < finding.seed:  # days finish in any order
+            result.findings[kind] = Finding(kind, seed, day_result.first_breach, table)
 
 
-def shrunk(
-    finding: Finding, pool: ProcessPoolExecutor, jobs: int, most: int, stopped: threading.Event
+def shrink_finding(
+    finding: Finding, pool: ProcessPoolExecutor, jobs: int, max_candidates: int, interrupted: threading.Event
 ) -> None:
-    """Bring the finding's day down to the least that breaks in the same way, or as far as it got."""
+    """Shrink the finding's day, until nothing smaller fails, the limit is reached or it is interrupted."""
 
-    def breaks(candidates: Sequence[shrink.Table]) -> list[bool]:
-        if stopped.is_set():
+    def fails(candidates: Sequence[shrink.Table]) -> list[bool]:
+        if interrupted.is_set():
             return [False] * len(candidates)
-        asked = [pool.submit(still, told, finding.seed, finding.kind) for told in candidates]
-        return [future.result() for future in asked]
+        futures = [pool.submit(still_fails, table, finding.seed, finding.kind) for table in candidates]
+        return [future.result() for future in futures]
 
-    before = shrink.weight(finding.told)
-    finding.told, finding.asked = shrink.shrink(finding.told, breaks, most, jobs)
+    old_size = shrink.count_keys(finding.table)
+    finding.table, finding.candidates_tried = shrink.shrink(finding.table, fails, max_candidates, jobs)
     log.info(
         "shrunk kind=%r seed=%d values=%d from=%d played=%d",
         finding.kind,
         finding.seed,
-        shrink.weight(finding.told),
-        before,
-        finding.asked,
+        shrink.count_keys(finding.table),
+        old_size,
+        finding.candidates_tried,
     )
 
 
-def parser() -> argparse.ArgumentParser:
-    words = argparse.ArgumentParser(
+def make_parser() -> argparse.ArgumentParser:
+    parser = argparse.ArgumentParser(
         prog="hookport explore", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    words.add_argument("plan", nargs="?", help="play this plan at many seeds, in place of drawn days")
-    words.add_argument("--seed", type=int, default=1, help="the first (1)")
-    words.add_argument("--days", type=int, default=100, help="how many (100)")
-    words.add_argument("--minutes", type=float, default=60.0, help="no new day after so long (60)")
-    words.add_argument("--length", type=float, default=24.0, help="of a drawn day, in seconds (24)")
-    words.add_argument("--jobs", type=int, default=os.cpu_count() or 1, help="days at a time (all cores)")
-    words.add_argument("--keep", metavar="FOLDER", default=".", help="where findings are written (here)")
-    words.add_argument("--shrink", type=int, default=SHRINK_MOST, help="days played for each finding (150)")
-    words.add_argument("--mutant", help="play this broken limiter: a check of the search itself")
-    return words
-
-
-def checked(args: argparse.Namespace) -> plans.Plan | None:
-    """The plan, if one is named; raises PlanError for what cannot be explored."""
-    for name, value, least in (
+    parser.add_argument("plan", nargs="?", help="run this plan at many seeds instead of random days")
+    parser.add_argument("--seed", type=int, default=1, help="the first seed (default: 1)")
+    parser.add_argument("--days", type=int, default=100, help="number of days (default: 100)")
+    parser.add_argument(
+        "--minutes", type=float, default=60.0, help="start no new day after so many minutes (default: 60)"
+    )
+    parser.add_argument(
+        "--length", type=float, default=24.0, help="length of a random day in seconds (default: 24)"
+    )
+    parser.add_argument(
+        "--jobs",
+        type=int,
+        default=os.cpu_count() or 1,
+        help="days to run in parallel (default: number of cores)",
+    )
+    parser.add_argument(
+        "--keep", metavar="FOLDER", default=".", help="folder for the shrunk plans (default: current folder)"
+    )
+    parser.add_argument(
+        "--shrink",
+        type=int,
+        default=MAX_SHRINK_CANDIDATES,
+        help="candidates to run for each finding (default: 150)",
+    )
+    parser.add_argument("--mutant", help="run this broken limiter, to check that the search finds it")
+    return parser
+
+
+def load_plan(args: argparse.Namespace) -> plans.Plan | None:
+    """Check the arguments and return the plan, if one is named.
+
+    Raises PlanError or WholeError if the arguments or the plan cannot be used."""
+    for name, value, minimum in (
         ("days", args.days, 1),
         ("jobs", args.jobs, 1),
         ("shrink", args.shrink, 0),
@@ -198,57 +218,59 @@
         ("length", args.length, 4),
         ("minutes", args.minutes, 0),
     ):
-        if value < least:
-            raise plans.PlanError(f"--{name}: {value:g} is less than {least}")
+        if value < minimum:
+            raise plans.PlanError(f"--{name}: {value:g} is less than {minimum}")
     if args.mutant and args.mutant not in mutants.MUTANTS:
-        raise plans.PlanError(f"--mutant: no mutant {args.mutant!r}; there is {', '.join(mutants.MUTANTS)}")
+        raise plans.PlanError(
+            f"--mutant: unknown mutant {args.mutant!r}; one of {', '.join(mutants.MUTANTS)}"
+        )
     if not Path(args.keep).is_dir() or not os.access(args.keep, os.W_OK):
-        raise plans.PlanError(f"--keep: {args.keep} is no folder that can be written to; make it first")
+        raise plans.PlanError(f"--keep: {args.keep} is not a writable folder; create it first")
     plan = plans.load(args.plan) if args.plan else None
     if plan:
         whole.refuse(plan)
     return plan
 
 
-def tell(result: Explored, args: argparse.Namespace) -> int:
+def print_result(result: ExploreResult, args: argparse.Namespace) -> int:
     scores = sorted(result.scores)
     if scores:
         print(
-            f"{len(scores)} days in {result.took_s:.0f} s; score: least {scores[0]:.3f}, "
-            f"median {statistics.median(scores):.3f}, most {scores[-1]:.3f}"
+            f"{len(scores)} days in {result.elapsed_s:.0f} s; score: min {scores[0]:.3f}, "
+            f"median {statistics.median(scores):.3f}, max {scores[-1]:.3f}"
         )
     for kind, finding in result.findings.items():
-        seeds = result.seen[kind]
-        named = ", ".join(map(str, sorted(seeds)[:12])) + (" ..." if len(seeds) > 12 else "")
-        print(f"{kind}: {len(seeds)} of {len(scores)} days (seeds {named})")
-        print(f"  first: {finding.first}")
-        print(f"  again: hookport rehearse {finding.path} --in whole --seed {finding.seed}")
+        seeds = result.seeds_by_kind[kind]
+        seed_list = ", ".join(map(str, sorted(seeds)[:12])) + (" ..." if len(seeds) > 12 else "")
+        print(f"{kind}: {len(seeds)} of {len(scores)} days (seeds {seed_list})")
+        print(f"  first breach: {finding.first_breach}")
+        print(f"  reproduce: hookport rehearse {finding.path} --in whole --seed {finding.seed}")
     if not result.findings:
         print("no rule was broken")
-    return BROKEN if result.findings else KEPT
+    return EXIT_RULE_BROKEN if result.findings else EXIT_OK
 
 
 def main(arguments: Sequence[str]) -> int:
-    args = parser().parse_args(list(arguments))
+    args = make_parser().parse_args(list(arguments))
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(name)s %(message)s")
     try:
-        plan = checked(args)
+        plan = load_plan(args)
     except (plans.PlanError, whole.WholeError) as error:
         print(f"hookport explore: {error}", file=sys.stderr)
-        return BAD_INPUT
+        return EXIT_BAD_INPUT
     with (
-        interruptible() as stopped,
-        ProcessPoolExecutor(args.jobs, initializer=harmed, initargs=(args.mutant,)) as pool,
+        interruptible() as interrupted,
+        ProcessPoolExecutor(args.jobs, initializer=initialize_worker, initargs=(args.mutant,)) as pool,
     ):
-        told = tables(plan, args.seed, args.days, args.length)
+        seeded_days = days_with_seeds(plan, args.seed, args.days, args.length)
 
-        def stop(passed_s: float) -> bool:
-            return stopped.is_set() or passed_s >= args.minutes * 60
+        def should_stop(elapsed_s: float) -> bool:
+            return interrupted.is_set() or elapsed_s >= args.minutes * 60
 
-        result = explore(told, args.days, pool, args.jobs, stop)
+        result = explore(seeded_days, args.days, pool, args.jobs, should_stop)
         for finding in result.findings.values():
-            shrunk(finding, pool, args.jobs, args.shrink, stopped)
+            shrink_finding(finding, pool, args.jobs, args.shrink, interrupted)
             finding.path = Path(args.keep) / f"{finding.kind.replace(' ', '-')}-{finding.seed}.toml"
-            finding.path.write_text(days.written(finding.told))
-    status = tell(result, args)
-    return INTERRUPTED if stopped.is_set() else status
+            finding.path.write_text(days.to_toml(finding.table))
+    status = print_result(result, args)
+    return EXIT_SIGINT if interrupted.is_set() else status
--- a/hookport/emulator/parallel.py
+++ b/hookport/emulator/parallel.py
@@ -1,4 +1,4 @@
-"""Many plays on a pool: the next begins as soon as one ends, and Ctrl-C lets those in play end."""
+"""Runs many calls on a pool, a limited number at a time; Ctrl-C lets the running ones finish."""
 
 from __future__ import annotations
 
@@ -10,37 +10,38 @@
 from typing import Any, TypeVar
 
 Item = TypeVar("Item", bound=tuple[Any, ...])  # the arguments of one call
-T = TypeVar("T")
+Result = TypeVar("Result")
 
 
 @contextmanager
 def interruptible() -> Iterator[threading.Event]:
-    """An event that SIGINT sets in place of raising, for as long as the block lasts."""
+    """Within the block, SIGINT sets the returned event instead of raising KeyboardInterrupt."""
     stopped = threading.Event()
-    before = signal.signal(signal.SIGINT, lambda *_: stopped.set())
+    previous_handler = signal.signal(signal.SIGINT, lambda *_: stopped.set())
     try:
         yield stopped
     finally:
-        signal.signal(signal.SIGINT, before)
+        signal.signal(signal.SIGINT, previous_handler)
 
 
 def run_parallel(
     pool: Executor,
-    call: Callable[..., T],
+    function: Callable[..., Result],
     items: Iterable[Item],
     jobs: int,
-    stop: Callable[[], bool],
-) -> Iterator[tuple[Item, T]]:
-    """Each item with what came of it, as they end; ``jobs`` at a time.
-
-    None is begun once ``stop`` says so. What a call raises is raised here."""
-    waiting: dict[Future[T], Item] = {}
-    upcoming = iter(items)
+    should_stop: Callable[[], bool],
+) -> Iterator[tuple[Item, Result]]:
+    """Call ``function`` on each item, ``jobs`` at a time; yield each item with its result as it completes.
+
+    No call is started once ``should_stop`` returns true. An exception of a call is raised here.
+    """
+    pending: dict[Future[Result], Item] = {}
+    remaining = iter(items)
     while True:
-        while len(waiting) < jobs and not stop() and (item := next(upcoming, None)) is not None:
-            waiting[pool.submit(call, *item)] = item
-        if not waiting:
+        while len(pending) < jobs and not should_stop() and (item := next(remaining, None)) is not None:
+            pending[pool.submit(function, *item)] = item
+        if not pending:
             return
-        done, _ = wait(waiting, return_when=FIRST_COMPLETED)
-        for future in [future for future in waiting if future in done]:  # in the order of their beginning
-            yield waiting.pop(future), future.result()
+        done, _ = wait(pending, return_when=FIRST_COMPLETED)
+        for future in [future for future in pending if future in done]:  # in the order of their start
+            yield pending.pop(future), future.result()
--- a/hookport/emulator/servers.py
+++ b/hookport/emulator/servers.py
@@ -12,7 +12,7 @@
 from hookport.emulator.clock import SECOND, Clock
 
 # A cold server's budget may be exceeded by this many requests of mean work: random arrivals alone do that.
-COLD_BUDGET_SLACK = 4.0
+OVERLOAD_SLACK_JOBS = 4.0
 
 
 class Behaviour(Enum):
@@ -36,7 +36,7 @@
     """
 
     cores: int = 2
-    queue_length: int = 24
+    queue_capacity: int = 24
     work_s: float = 0.05
     cold_capacity_share: float = 0.25
     warm_up_s: float = 8.0
@@ -96,7 +96,7 @@
         if self.is_overloaded(job.work_s):
             self.has_failed, self.behaviour = True, Behaviour.REFUSES
             return self.finish(job, Outcome.RESET)
-        if self.behaviour is Behaviour.DRAINS or len(self.queue) >= self.model.queue_length:
+        if self.behaviour is Behaviour.DRAINS or len(self.queue) >= self.model.queue_capacity:
             return self.finish(job, Outcome.FULL)
         self.queue.append(job)
         self.start_jobs()
@@ -110,7 +110,7 @@
         while self.recent_work[0][0] < now_ns - model.overload_window_s * SECOND:
             self.recent_work.popleft()
         budget_s = model.overload_multiple * model.cores * self.warm_share() * model.overload_window_s
-        return sum(work for _, work in self.recent_work) > budget_s + COLD_BUDGET_SLACK * model.work_s
+        return sum(work for _, work in self.recent_work) > budget_s + OVERLOAD_SLACK_JOBS * model.work_s
 
     def start_jobs(self) -> None:
         while self.queue and self.busy_cores < self.model.cores:
--- a/hookport/emulator/whole.py
+++ b/hookport/emulator/whole.py
@@ -307,7 +307,7 @@
         except ConfigError as error:
             raise WholeError(str(error)) from error
         if stray:
-            raise WholeError(f"an exception that no code caught: {stray[0]}")
+            raise WholeError(f"unhandled exception: {stray[0]}")
     head = {"e": "head", "t": 0, "form": FORMAT_VERSION, "plan": msgspec.to_builtins(plan), "seed": seed,
             "digest": evening.digest, "command": "whole depth"}  # fmt: skip
     return head, rows
