--- a/benchmarks/evenings.py
+++ b/benchmarks/evenings.py
@@ -1,11 +1,11 @@
-"""A plan of the rehearsal kit at many seeds, in the whole depth: how its figures spread.
+"""Runs a plan at many seeds in virtual time and prints the distribution of its figures.
 
     python benchmarks/evenings.py PLAN [SEEDS]
 
-On all cores, 40 seeds unless told otherwise. Where the edges of the counter's windows fall in an evening is
-drawn with the seed, so a trouble meets them in every place. Prints, for each figure, the mean, the median,
-the 95th of 100 on the worse side, the worst and its seed; then the evenings that broke a rule, by seed. The
-exit status is 1 if one did."""
+It runs on all cores, with 40 seeds by default. The seed also shifts the boundaries of the counter's windows,
+so faults hit them in every phase. Prints for each figure the mean, the median, the 95th percentile towards
+the worse side, and the worst value with its seed; then the runs that broke a rule, by seed. The exit status
+is 1 if one did."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from hookport.emulator import whole
 from hookport.rehearsal import plan as plans
 
-WORST_IS_LEAST = {"score"}
+LOWEST_IS_WORST = {"score"}
 
 
-def play(name: str, seed: int) -> tuple[int, dict[str, float], list[str]]:
+def run_seed(name: str, seed: int) -> tuple[int, dict[str, float], list[str]]:
     judged, _ = whole.play_and_judge(plans.load(name), seed)
     score = judged.score
     figures = {
@@ -34,28 +34,28 @@
 
 def main() -> int:
     name, seeds = sys.argv[1], int(sys.argv[2]) if len(sys.argv) > 2 else 40
-    played = []
+    results = []
     with ProcessPoolExecutor() as pool:
-        for job in as_completed([pool.submit(play, name, seed) for seed in range(1, seeds + 1)]):
-            played.append(job.result())
-            print(f"{len(played)} of {seeds} evenings", end="\r", file=sys.stderr, flush=True)
-    played.sort()
+        for future in as_completed([pool.submit(run_seed, name, seed) for seed in range(1, seeds + 1)]):
+            results.append(future.result())
+            print(f"{len(results)} of {seeds} runs", end="\r", file=sys.stderr, flush=True)
+    results.sort()
     title = f"{name}, {seeds} seeds"
-    print(f"{title:30}      mean    median     of 95     worst  seed")
-    for figure in played[0][1]:
-        values = {seed: figures.get(figure, 0.0) for seed, figures, _ in played}
-        least = figure in WORST_IS_LEAST
-        worst = (min if least else max)(values, key=lambda seed: values[seed])
-        most = sorted(values.values(), reverse=least)
+    print(f"{title:30}      mean    median       p95     worst  seed")
+    for figure in results[0][1]:
+        values = {seed: figures.get(figure, 0.0) for seed, figures, _ in results}
+        lowest_is_worst = figure in LOWEST_IS_WORST
+        worst = (min if lowest_is_worst else max)(values, key=lambda seed: values[seed])
+        ordered = sorted(values.values(), reverse=lowest_is_worst)
         print(
-            f"{figure:30}  {statistics.mean(most):8.3f}  {statistics.median(most):8.3f}  "
-            f"{most[int(0.95 * (len(most) - 1))]:8.3f}  "
+            f"{figure:30}  {statistics.mean(ordered):8.3f}  {statistics.median(ordered):8.3f}  "
+            f"{ordered[int(0.95 * (len(ordered) - 1))]:8.3f}  "
             f"{values[worst]:8.3f}  {worst:4d}"
         )
-    for seed, _, broken in played:
-        if broken:
-            print(f"seed {seed}: {broken[0]}" + (f", and {len(broken) - 1} more" if broken[1:] else ""))
-    return any(broken for _, _, broken in played)
+    for seed, _, breaches in results:
+        if breaches:
+            print(f"seed {seed}: {breaches[0]}" + (f", and {len(breaches) - 1} more" if breaches[1:] else ""))
+    return any(breaches for _, _, breaches in results)
 
 
 if __name__ == "__main__":
--- a/benchmarks/explore_mutants.py
+++ b/benchmarks/explore_mutants.py
@@ -1,10 +1,11 @@
-"""How soon drawn days show a broken limiter: what the search for failures is worth.
+"""Measures how many random days ``hookport explore`` needs to detect each broken limiter (mutant).
 
     python benchmarks/explore_mutants.py [DAYS]
 
-For each broken limiter of the rehearsal kit that virtual time can show: the first of DAYS (24) drawn days on
-which it breaks its rule, and the machine time until then, on all cores. Left out are those that change what
-only a process has: its signals, its memory, its end. The exit status is 1 if one is not found.
+Prints for each mutant the first of DAYS (default: 24) random days on which it breaks its rule, and the
+computing time until then. Mutants run in parallel on all cores. Excluded are mutants that virtual time cannot
+show, because they concern the process: its signals, memory or exit. The exit status is 1 if one is not
+detected.
 """
 
 from __future__ import annotations
@@ -15,33 +16,36 @@
 from hookport.emulator import days, explore
 from hookport.rehearsal import mutants
 
-NOT_HERE = {"ends-at-hup", "ignores-term", "lost-at-term", "crashes", "leaks"}
+EXCLUDED = {"ends-at-hup", "ignores-term", "lost-at-term", "crashes", "leaks"}
 
 
-def found(name: str, most: int) -> tuple[str, int, float, str]:
-    """The seed of the first day that shows it (0: none), the seconds played, all rules broken by then."""
+def search(name: str, max_days: int) -> tuple[str, int, float, str]:
+    """Return the name, the first seed that breaks the mutant's rule (0: none), the seconds, all broken rules."""
     explore.initialize_worker(name)
-    took_s, broken = 0.0, set[str]()
-    for seed in range(1, most + 1):
-        played = explore.play(days.plan_table(seed, 16.0), seed)
-        took_s += played.elapsed_s
-        broken.update(played.kinds)
-        if mutants.MUTANTS[name].rule in played.kinds:
-            return name, seed, took_s, ", ".join(sorted(broken))
-    return name, 0, took_s, ", ".join(sorted(broken))
+    elapsed_s, broken = 0.0, set[str]()
+    for seed in range(1, max_days + 1):
+        result = explore.play(days.plan_table(seed, 16.0), seed)
+        elapsed_s += result.elapsed_s
+        broken.update(result.kinds)
+        if mutants.MUTANTS[name].rule in result.kinds:
+            return name, seed, elapsed_s, ", ".join(sorted(broken))
+    return name, 0, elapsed_s, ", ".join(sorted(broken))
 
 
 def main() -> int:
-    most = int(sys.argv[1]) if len(sys.argv) > 1 else 24
-    names = [name for name in mutants.MUTANTS if name not in NOT_HERE]
+    max_days = int(sys.argv[1]) if len(sys.argv) > 1 else 24
+    names = [name for name in mutants.MUTANTS if name not in EXCLUDED]
     missed = 0
-    print("broken limiter   must break  days  seconds  broke by then")
+    print("mutant           must break  days  seconds  rules broken so far")
     with ProcessPoolExecutor(max_tasks_per_child=1) as pool:
-        for job in as_completed([pool.submit(found, name, most) for name in names]):
-            name, seed, took_s, broken = job.result()
+        for future in as_completed([pool.submit(search, name, max_days) for name in names]):
+            name, seed, elapsed_s, broken = future.result()
             missed += not seed
-            told = f"{seed:4d}" if seed else f">{most:3d}"
-            print(f"{name:15}  {mutants.MUTANTS[name].rule:10}  {told}  {took_s:7.1f}  {broken}", flush=True)
+            days_text = f"{seed:4d}" if seed else f">{max_days:3d}"
+            print(
+                f"{name:15}  {mutants.MUTANTS[name].rule:10}  {days_text}  {elapsed_s:7.1f}  {broken}",
+                flush=True,
+            )
     return missed > 0
 
 
--- a/benchmarks/repeat.py
+++ b/benchmarks/repeat.py
@@ -1,8 +1,8 @@
-"""How far the score of one plan and seed moves from run to run.
+"""Measures how much the score of one plan and seed varies between runs in real time.
 
     python benchmarks/repeat.py [PLAN [RUNS [SEED]]]
 
-Five runs of ``evening`` at seed 1 unless told otherwise, one after another on an otherwise quiet machine.
+By default five runs of ``evening`` at seed 1, one after another. The machine should be otherwise idle.
 """
 
 from __future__ import annotations
@@ -18,28 +18,28 @@
 from hookport.rehearsal import Play, judge_file, load  # noqa: E402
 
 
-async def once(name: str, seed: int) -> tuple[float, str]:
+async def run_once(name: str, seed: int) -> tuple[float, str]:
     with tempfile.TemporaryDirectory() as folder:
-        kept = Path(folder) / "history"
-        await Play(load(name), seed).run(kept)
-        judged = judge_file(kept)
+        history_path = Path(folder) / "history"
+        await Play(load(name), seed).run(history_path)
+        judged = judge_file(history_path)
     return judged.score.score, judged.verdict
 
 
 def main() -> int:
-    words = sys.argv[1:]
-    name = words[0] if words else "evening"
-    runs, seed = int(words[1]) if len(words) > 1 else 5, int(words[2]) if len(words) > 2 else 1
+    args = sys.argv[1:]
+    name = args[0] if args else "evening"
+    runs, seed = int(args[1]) if len(args) > 1 else 5, int(args[2]) if len(args) > 2 else 1
     scores = []
     for n in range(runs):
-        score, verdict = asyncio.run(once(name, seed))
+        score, verdict = asyncio.run(run_once(name, seed))
         print(f"run {n + 1}: {score:.4f} {verdict}", flush=True)
         if verdict != "void":
             scores.append(score)
     mean = statistics.fmean(scores)
     worst = max(abs(score - mean) for score in scores)
     print(f"{name}, seed {seed}: median {statistics.median(scores):.4f}, mean {mean:.4f}, "
-          f"from {min(scores):.4f} to {max(scores):.4f}, at most {worst:.4f} from the mean")  # fmt: skip
+          f"from {min(scores):.4f} to {max(scores):.4f}, largest deviation {worst:.4f}")  # fmt: skip
     return 0
 
 
