--- a/benchmarks/explore_mutants.py
+++ b/benchmarks/explore_mutants.py
@@ -20,7 +20,7 @@
 
 
 def search(name: str, max_days: int) -> tuple[str, int, float, str]:
-    """Return the name, the first seed that breaks the mutant's rule (0: none), the seconds, all broken rules."""
+    """Return the name, the first seed that breaks the mutant's rule (0: none), seconds, all broken rules."""
     explore.initialize_worker(name)
     elapsed_s, broken = 0.0, set[str]()
     for seed in range(1, max_days + 1):
--- a/hookport/emulator/explore.py
+++ b/hookport/emulator/explore.py
@@ -228,7 +228,7 @@
         raise plans.PlanError(f"--keep: {args.keep} is not a writable folder; create it first")
     plan = plans.load(args.plan) if args.plan else None
     if plan:
-        whole.refuse(plan)
+        whole.check_supported(plan)
     return plan
 
 
--- a/hookport/emulator/whole.py
+++ b/hookport/emulator/whole.py
@@ -1,12 +1,12 @@
-"""The *whole* depth: an evening of the rehearsal kit in one process and in virtual time.
+"""Runs a plan of the test harness in one process and in virtual time (``--in whole``).
 
-The daemon's code, the kit's stand-ins, desks, fault proxy and datagrams are those of the real evening; time
-and transport alone are replaced (``loop.py``, ``network.py``). What happens is a function of plan, seed and
-code: the same three give the same history, byte for byte.
+The daemon's code and the harness's stand-ins, desks, fault proxy and datagrams are the same as in real time;
+only time and transport are replaced (``loop.py``, ``network.py``). The result depends on plan, seed and code
+only: the same three give the same history, byte for byte.
 
-What is not here: the daemons' use of CPU and memory (a callback takes no time, so the referee's rule on
-memory has nothing to judge), the signals' own delay, and whatever uvloop does otherwise than asyncio. It
-stands in for the orchestrator of ``rehearsal/play.py`` and does to a limiter what that does.
+Not simulated: CPU and memory use of the daemons (a callback takes no time, so the referee's rule on memory
+has nothing to judge), the delay of signals, and differences between uvloop and asyncio. This module replaces
+the orchestrator of ``rehearsal/play.py`` and controls the limiters in the same way.
 """
 
 from __future__ import annotations
@@ -36,22 +36,23 @@
 from hookport.rehearsal.world import World
 
 __all__ = [
-    "Evening", "SpinError", "StallError", "WholeError", "digest", "encoded", "play_and_judge", "play",
-    "virtual",
+    "VirtualRun", "SpinError", "StallError", "WholeError", "digest", "encoded", "play_and_judge", "play",
+    "virtual_loop",
 ]  # fmt: skip
 HOST = "127.0.0.1"
-UNIX_NS = 1_790_000_000 * 1_000_000_000  # of the evening's clock at its zero, and up to PHASE_S more
-PHASE_S = 60.0  # the longest life of a count: where its edges fall in an evening is up to the seed
-LOOK_S = 0.1
-SETTLE_S = 0.05  # after the end, for the last answers to be noted
+UNIX_START_NS = 1_790_000_000 * 1_000_000_000  # Unix time at zero of the loop's clock, plus up to MAX_PHASE_S
+# The longest window of the counter. The seed draws where in a run the window boundaries fall.
+MAX_PHASE_S = 60.0
+POLL_INTERVAL_S = 0.1
+SETTLE_S = 0.05  # wait after the end, so that the last answers are recorded
 
 
 class WholeError(Exception):
-    """The evening cannot be played in this depth, or something in it broke; one line that says what."""
+    """The plan cannot be run in virtual time, or the run failed; the message is one line."""
 
 
-class Rows:
-    """In the place of a recorder: the history stays in memory."""
+class MemoryRecorder:
+    """Replaces a history recorder: keeps the rows in memory."""
 
     def __init__(self) -> None:
         self.rows: list[Row] = []
@@ -60,90 +61,101 @@
         self.rows.append(row)
 
 
-class Seat:
-    """One limiter, over all its lives."""
+class LimiterSlot:
+    """One limiter, across all restarts of its process."""
 
-    def __init__(self, number: int, told: dict[str, Any]) -> None:
-        self.number, self.told = number, told
-        self.count = 0  # of lives so far
+    def __init__(self, number: int, config: dict[str, Any]) -> None:
+        self.number, self.config = number, config
+        self.starts = 0  # of its process so far
         self.process: SimulatedProcess | None = None
         self.node: Node | None = None
-        self.done: asyncio.Event = asyncio.Event()  # the present life has ended in good order
+        self.exited: asyncio.Event = asyncio.Event()  # the present process has shut down in order
         self.stopping = False
 
 
-def refuse(plan: plans.Plan) -> None:
-    """Raise WholeError for what this depth does not play."""
+def check_supported(plan: plans.Plan) -> None:
+    """Raise WholeError if the plan needs what virtual time does not simulate."""
     if plan.limiters.kept_list:
-        raise WholeError("limiters.kept_list: the whole depth has no disk; play this plan in real time")
+        raise WholeError("limiters.kept_list: there is no disk in virtual time; run this plan in real time")
 
 
-class Evening:
-    """One evening, from its first listener to its history."""
+class VirtualRun:
+    """One run of a plan, from the first listener to the history."""
 
     def __init__(
-        self, plan: plans.Plan, seed: int, loop: VirtualLoop, progress: Progress, show: Callable[[], None]
+        self,
+        plan: plans.Plan,
+        seed: int,
+        loop: VirtualLoop,
+        progress: Progress,
+        on_progress: Callable[[], None],
     ) -> None:
-        refuse(plan)
-        self.plan, self.seed, self.loop, self.progress, self.show = plan, seed, loop, progress, show
+        check_supported(plan)
+        self.plan, self.seed, self.loop, self.progress, self.on_progress = (
+            plan,
+            seed,
+            loop,
+            progress,
+            on_progress,
+        )
         self.network = loop.network
-        self.recorder = Rows()
-        self.seats: list[Seat] = []
+        self.recorder = MemoryRecorder()
+        self.limiters: list[LimiterSlot] = []
         self.tasks: set[asyncio.Task[None]] = set()
         self.failures: list[str] = []
         self.start_ns = 0
         self.digest = ""
 
-    def note(self, what: str, seat: Seat, **more: Any) -> None:
-        self.recorder.record({"t": Place.clock_ns(), "e": "limiter", "l": seat.number, "what": what,
-                            "p": seat.count, **more})  # fmt: skip
+    def record_event(self, what: str, slot: LimiterSlot, **fields: Any) -> None:
+        self.recorder.record({"t": Place.clock_ns(), "e": "limiter", "l": slot.number, "what": what,
+                            "p": slot.starts, **fields})  # fmt: skip
 
     async def play(self) -> list[Row]:
         plan, count = self.plan, self.plan.limiters.count
         ports = [self.network.allocate_port() for _ in range(count)]
-        words = [self.network.allocate_port() for _ in range(count)] if plan.peers.allowed else []
-        self.world = World(plan, self.seed, self.recorder, self.told)  # type: ignore[arg-type]
-        places = await self.world.start(ports, words)
+        peer_ports = [self.network.allocate_port() for _ in range(count)] if plan.peers.allowed else []
+        self.world = World(plan, self.seed, self.recorder, self.on_world_event)  # type: ignore[arg-type]
+        addresses = await self.world.start(ports, peer_ports)
         for number, port in enumerate(ports):
-            told = plans.configuration(plan, self.seed, number, HOST, port, places)
-            self.seats.append(Seat(number, told))
-        for seat in self.seats:
-            await self.launch(seat)
-        self.desks = Desks(plan, self.seed, self.recorder, places["fronts"])  # type: ignore[arg-type]
+            config = plans.configuration(plan, self.seed, number, HOST, port, addresses)
+            self.limiters.append(LimiterSlot(number, config))
+        for slot in self.limiters:
+            await self.start_limiter(slot)
+        self.desks = Desks(plan, self.seed, self.recorder, addresses["fronts"])  # type: ignore[arg-type]
         self.digest = draw.digest(self.desks.arrivals)
         self.start_ns = Place.clock_ns() + round(LEAD_S * 1e9)
         self.world.schedule_faults(self.start_ns)
         self.desks.start(self.start_ns)
-        await self.last()
+        await self.wait_until_done()
         await self.finish()
         return self.history()
 
-    async def last(self) -> None:
-        """Until all is answered or overdue."""
+    async def wait_until_done(self) -> None:
+        """Wait until all requests are answered or overdue."""
         plan = self.plan
-        ends_ns = self.start_ns + round((plan.length_s + plan.longest_s + AFTER_S) * 1e9)
-        earliest_ns = self.start_ns + round((plan.length_s + AFTER_S) * 1e9)
-        while (now_ns := Place.clock_ns()) < ends_ns:
+        latest_end_ns = self.start_ns + round((plan.length_s + plan.longest_s + AFTER_S) * 1e9)
+        earliest_end_ns = self.start_ns + round((plan.length_s + AFTER_S) * 1e9)
+        while (now_ns := Place.clock_ns()) < latest_end_ns:
             desks = self.desks
-            if now_ns > earliest_ns and not desks.open_due_ns and desks.next_arrival == len(desks.arrivals):
+            if now_ns > earliest_end_ns and not desks.open_due_ns and desks.next_arrival == len(desks.arrivals):
                 return
             progress = self.progress
             progress.stage, progress.passed_s = "playing", max(0.0, (now_ns - self.start_ns) / 1e9)
             progress.asked, progress.served, progress.refused = desks.asked, desks.served, desks.refused
-            self.show()
+            self.on_progress()
             if self.failures:
                 raise WholeError(self.failures[0])
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def finish(self) -> None:
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        ending = [seat for seat in self.seats if seat.node and not seat.stopping]
-        for seat in ending:
-            seat.stopping = True
-            self.note("term", seat)
-        await asyncio.gather(*(self.end_in_time(seat, 0.0) for seat in ending))
+        running = [slot for slot in self.limiters if slot.node and not slot.stopping]
+        for slot in running:
+            slot.stopping = True
+            self.record_event("term", slot)
+        await asyncio.gather(*(self.stop_limiter(slot, 0.0) for slot in running))
         self.desks.stop()
         await asyncio.sleep(SETTLE_S)
         self.world.close()
@@ -151,34 +163,36 @@
             raise WholeError(self.failures[0])
 
     def history(self) -> list[Row]:
-        """In order of time, from the evening's start on."""
+        """Return the rows in order of time, relative to the start of the run."""
         rows = sorted(self.recorder.rows, key=lambda row: int(row["t"]))
         return [rebase(row, self.start_ns) for row in rows]
 
     # Limiters
 
-    async def launch(self, seat: Seat) -> None:
-        seat.count += 1
-        seat.process, seat.done, seat.stopping = (
-            SimulatedProcess(f"n{seat.number}.{seat.count}"),
+    async def start_limiter(self, slot: LimiterSlot) -> None:
+        slot.starts += 1
+        slot.process, slot.exited, slot.stopping = (
+            SimulatedProcess(f"n{slot.number}.{slot.starts}"),
             asyncio.Event(),
             False,
         )
-        config = parse_config(seat.told, {})
+        config = parse_config(slot.config, {})
         context = contextvars.copy_context()
-        context.run(CURRENT_PROCESS.set, seat.process)
-        node = seat.node = context.run(
+        context.run(CURRENT_PROCESS.set, slot.process)
+        node = slot.node = context.run(
             Node, config, self.loop, Place.clock_ns, Place.unix_ns, self.network.has_unread
         )
         started = asyncio.Event()
-        self.loop.create_task(self.serve(seat, node, started), context=context).add_done_callback(self.over)
+        self.loop.create_task(self.run_limiter(slot, node, started), context=context).add_done_callback(
+            self.on_task_done
+        )
         await started.wait()
         if self.failures:
-            raise WholeError(f"limiter {seat.number} cannot start: {self.failures[0]}")
-        self.note("ready", seat)
+            raise WholeError(f"limiter {slot.number} cannot start: {self.failures[0]}")
+        self.record_event("ready", slot)
 
-    async def serve(self, seat: Seat, node: Node, started: asyncio.Event) -> None:
-        """A limiter's life, as ``hookport.__main__`` has it."""
+    async def run_limiter(self, slot: LimiterSlot, node: Node, started: asyncio.Event) -> None:
+        """Run a limiter until it has shut down, as ``hookport.__main__`` does."""
         try:
             await node.start()
         except OSError as error:
@@ -187,141 +201,146 @@
             started.set()
         await node.clients.done.wait()
         node.close()
-        seat.done.set()
+        slot.exited.set()
 
-    def within(self, seat: Seat, call: Callable[..., object], *args: Any) -> None:
-        """What a signal handler does: in the limiter's own life."""
+    def call_in_process(self, slot: LimiterSlot, function: Callable[..., object], *args: Any) -> None:
+        """Call a function in the limiter's process, as a signal handler would."""
         context = contextvars.copy_context()
-        context.run(CURRENT_PROCESS.set, seat.process)
-        self.loop.call_soon(call, *args, context=context)
+        context.run(CURRENT_PROCESS.set, slot.process)
+        self.loop.call_soon(function, *args, context=context)
 
-    def spawn(self, call: Any) -> None:
-        task: asyncio.Task[None] = self.loop.create_task(call)
+    def start_task(self, function: Any) -> None:
+        task: asyncio.Task[None] = self.loop.create_task(function)
         self.tasks.add(task)
-        task.add_done_callback(self.over)
+        task.add_done_callback(self.on_task_done)
 
-    def over(self, task: asyncio.Task[None]) -> None:
+    def on_task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
             self.failures.append(f"{type(error).__name__}: {error}")
 
-    def told(self, **event: Any) -> None:
-        """What the world's timeline says."""
+    def on_world_event(self, **event: Any) -> None:
+        """Handle an event of the world's timeline."""
         if event["ev"] == "limiter":
-            self.spawn(self.signal(self.seats[event["l"]], event))
+            self.start_task(self.send_signal(self.limiters[event["l"]], event))
         elif event["ev"] == "fault":
             self.progress.note = event["text"]
         elif event["ev"] == "failed":
             self.failures.append(event["why"])
 
-    async def signal(self, seat: Seat, told: dict[str, Any]) -> None:
-        what, process, node = told["signal"], seat.process, seat.node
-        if process is None or node is None or seat.stopping:
+    async def send_signal(self, slot: LimiterSlot, event: dict[str, Any]) -> None:
+        signal, process, node = event["signal"], slot.process, slot.node
+        if process is None or node is None or slot.stopping:
             return
-        if what == "HUP":
+        if signal == "HUP":
             for name in ("discovery", "counter"):
-                seat.told[name] = f"{HOST}:{told[name]}"
-            self.note("hup", seat)
-            self.within(seat, node.reconfigure, parse_config(seat.told, {}))
+                slot.config[name] = f"{HOST}:{event[name]}"
+            self.record_event("hup", slot)
+            self.call_in_process(slot, node.reconfigure, parse_config(slot.config, {}))
             return
-        if what == "STOP":
-            self.note("stop", seat)
-            until_ns = Place.clock_ns() + round((told["back_s"] + 1) * 1e9)
-            self.recorder.record({"t": Place.clock_ns(), "e": "excuse", "l": seat.number, "until": until_ns})
-            process.stopped_until_s = self.loop.time() + told["back_s"]
-            await asyncio.sleep(told["back_s"])
-            self.note("cont", seat)
+        if signal == "STOP":
+            self.record_event("stop", slot)
+            until_ns = Place.clock_ns() + round((event["back_s"] + 1) * 1e9)
+            self.recorder.record({"t": Place.clock_ns(), "e": "excuse", "l": slot.number, "until": until_ns})
+            process.stopped_until_s = self.loop.time() + event["back_s"]
+            await asyncio.sleep(event["back_s"])
+            self.record_event("cont", slot)
             return
-        seat.stopping = True
-        if what == "TERM":
-            self.note("term", seat)
-            await self.end_in_time(seat, PLANNED_S)
+        slot.stopping = True
+        if signal == "TERM":
+            self.record_event("term", slot)
+            await self.stop_limiter(slot, PLANNED_S)
         else:
-            self.note("kill", seat)
+            self.record_event("kill", slot)
             self.network.kill(process)
-            self.desks.set_limiter_state(seat.number, False, seat.count, False)
-        await asyncio.sleep(told["back_s"])
-        agent = self.world.agents[seat.number]
-        empty = self.plan.limiters.known == "none"
-        seat.told["known"] = NO_LIST if empty else agent.known_list(notified=True)
-        await self.launch(seat)
-        self.desks.set_limiter_state(seat.number, True, seat.count, True)
-
-    async def end_in_time(self, seat: Seat, planned_s: float) -> None:
-        assert seat.node and seat.process
-        self.within(seat, seat.node.shut_down)
-        self.loop.call_later(planned_s, self.desks.set_limiter_state, seat.number, False, seat.count, True)
+            self.desks.set_limiter_state(slot.number, False, slot.starts, False)
+        await asyncio.sleep(event["back_s"])
+        agent = self.world.agents[slot.number]
+        starts_without_list = self.plan.limiters.known == "none"
+        slot.config["known"] = NO_LIST if starts_without_list else agent.known_list(notified=True)
+        await self.start_limiter(slot)
+        self.desks.set_limiter_state(slot.number, True, slot.starts, True)
+
+    async def stop_limiter(self, slot: LimiterSlot, planned_s: float) -> None:
+        assert slot.node and slot.process
+        self.call_in_process(slot, slot.node.shut_down)
+        self.loop.call_later(planned_s, self.desks.set_limiter_state, slot.number, False, slot.starts, True)
         try:
             async with asyncio.timeout(end_within_s(self.plan)):
-                await seat.done.wait()
-            self.note("exit", seat, code=0)
-            seat.process.terminated = True
+                await slot.exited.wait()
+            self.record_event("exit", slot, code=0)
+            slot.process.terminated = True
         except TimeoutError:
-            self.note("overdue", seat)
-            self.network.kill(seat.process)
+            self.record_event("overdue", slot)
+            self.network.kill(slot.process)
 
 
 def unix_ns(loop: VirtualLoop, phase_ns: int) -> int:
-    return UNIX_NS + phase_ns + loop.now_ns()
+    return UNIX_START_NS + phase_ns + loop.now_ns()
 
 
 @contextmanager
-def virtual(seed: int) -> Iterator[VirtualLoop]:
-    """A loop with a network, and the kit's clocks and ports set to them for as long as it lasts."""
-    before = Place.host, Place.clock_ns, Place.unix_ns, Place.port
+def virtual_loop(seed: int) -> Iterator[VirtualLoop]:
+    """Create a loop with a network; within the block the harness uses their clocks and ports."""
+    saved_environment = Place.host, Place.clock_ns, Place.unix_ns, Place.port
     loop = VirtualLoop()
     loop.network = Network(loop, seed)
     Place.host, Place.port = HOST, loop.network.allocate_port
-    phase_ns = round(draw.between(0.0, PHASE_S, seed, "phase") * 1e9)
+    phase_ns = round(draw.between(0.0, MAX_PHASE_S, seed, "phase") * 1e9)
     Place.clock_ns, Place.unix_ns = loop.now_ns, functools.partial(unix_ns, loop, phase_ns)
     logger = logging.getLogger("hookport")
-    silent = logging.NullHandler()
-    logger.addHandler(silent)
+    null_handler = logging.NullHandler()
+    logger.addHandler(null_handler)
     try:
         yield loop
     finally:
-        logger.removeHandler(silent)
-        Place.host, Place.clock_ns, Place.unix_ns, Place.port = before
+        logger.removeHandler(null_handler)
+        Place.host, Place.clock_ns, Place.unix_ns, Place.port = saved_environment
         asyncio.set_event_loop(None)
         loop.close()
 
 
 def play(
-    plan: plans.Plan, seed: int, progress: Progress | None = None, show: Callable[[], None] = lambda: None
+    plan: plans.Plan,
+    seed: int,
+    progress: Progress | None = None,
+    on_progress: Callable[[], None] = lambda: None,
 ) -> tuple[Row, list[Row]]:
-    """The head and the rows of an evening's history; ``show`` is called whenever ``progress`` has changed.
+    """Run a plan; return the head and the rows of its history.
 
-    Raises WholeError, and SpinError or StallError where time stands still."""
-    with virtual(seed) as loop:
-        stray: list[str] = []
+    ``on_progress`` is called whenever ``progress`` has changed. Raises WholeError, and SpinError or
+    StallError if time cannot advance.
+    """
+    with virtual_loop(seed) as loop:
+        unhandled: list[str] = []
 
-        def strayed(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        def on_unhandled(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
             error = context.get("exception")
             if error is not None and not isinstance(error, asyncio.CancelledError):
-                stray.append(f"{type(error).__name__}: {error} ({context.get('message')})")
+                unhandled.append(f"{type(error).__name__}: {error} ({context.get('message')})")
 
-        loop.set_exception_handler(strayed)
-        evening = Evening(plan, seed, loop, progress or Progress(), show)
+        loop.set_exception_handler(on_unhandled)
+        run = VirtualRun(plan, seed, loop, progress or Progress(), on_progress)
         try:
-            rows = loop.run_until_complete(evening.play())
+            rows = loop.run_until_complete(run.play())
         except ConfigError as error:
             raise WholeError(str(error)) from error
-        if stray:
-            raise WholeError(f"unhandled exception: {stray[0]}")
+        if unhandled:
+            raise WholeError(f"unhandled exception: {unhandled[0]}")
     head = {"e": "head", "t": 0, "form": FORMAT_VERSION, "plan": msgspec.to_builtins(plan), "seed": seed,
-            "digest": evening.digest, "command": "whole depth"}  # fmt: skip
+            "digest": run.digest, "command": "whole depth"}  # fmt: skip
     return head, rows
 
 
 def encoded(head: Row, rows: list[Row]) -> bytes:
-    """The history as it is kept: one JSON object a line, as ``history.read`` takes it."""
+    """Return the history in the format of ``history.read``: one JSON object per line."""
     encode = msgspec.json.Encoder().encode
     end = {"e": "end", "t": 0, "lines": len(rows)}
     return b"".join(encode(row) + b"\n" for row in (head, *rows, end))
 
 
 def digest(rows: list[Row]) -> str:
-    """What two histories share only if they are alike to the last byte."""
+    """Return a digest of the rows, to compare histories."""
     return hashlib.sha256(encoded({}, rows)).hexdigest()[:16]
 
 
@@ -330,10 +349,13 @@
     seed: int,
     history: Path | None = None,
     progress: Progress | None = None,
-    show: Callable[[], None] = lambda: None,
+    on_progress: Callable[[], None] = lambda: None,
 ) -> tuple[judgement.Judgement, str]:
-    """An evening played and judged, and its digest; its history is kept if a path is given."""
-    head, rows = play(plan, seed, progress, show)
+    """Run a plan, judge it, and return the judgement and the digest.
+
+    The history is written if a path is given.
+    """
+    head, rows = play(plan, seed, progress, on_progress)
     if history:
         history.write_bytes(encoded(head, rows))
     return judgement.judge(head, rows), digest(rows)
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -37,7 +37,7 @@
 
 
 def run(scenario: Callable[[VirtualLoop], Coroutine[Any, Any, None]]) -> None:
-    with whole.virtual(1) as loop:
+    with whole.virtual_loop(1) as loop:
         loop.run_until_complete(scenario(loop))
 
 
@@ -92,7 +92,7 @@
     one of ten runs."""
     edges = []
     for seed in range(1, 9):
-        with whole.virtual(seed):
+        with whole.virtual_loop(seed):
             edges.append(Place.unix_ns() // 10**9 % 60)
     assert len(set(edges)) > 4
 
@@ -309,7 +309,7 @@
 @pytest.mark.parametrize(
     ("args", "expected"),
     [
-        (["dawn"], "limiters.kept_list: the whole depth has no disk"),
+        (["dawn"], "limiters.kept_list: there is no disk in virtual time"),
         (["dawn"], "hookport rehearse dawn --in whole --seed 1"),
         (["calm", "--limiter", "true"], "leave --limiter and --against out"),
         (["calm", "--against", "roll"], "leave --limiter and --against out"),
