--- a/benchmarks/explore_mutants.py
+++ b/benchmarks/explore_mutants.py
@@ -24,7 +24,7 @@
     explore.initialize_worker(name)
     elapsed_s, broken = 0.0, set[str]()
     for seed in range(1, max_days + 1):
-        result = explore.play(days.plan_table(seed, 16.0), seed)
+        result = explore.run_day(days.plan_table(seed, 16.0), seed)
         elapsed_s += result.elapsed_s
         broken.update(result.kinds)
         if mutants.MUTANTS[name].rule in result.kinds:
--- a/hookport/emulator/explore.py
+++ b/hookport/emulator/explore.py
@@ -49,7 +49,7 @@
     elapsed_s: float
 
 
-def play(table: shrink.Table, seed: int) -> DayResult:
+def run_day(table: shrink.Table, seed: int) -> DayResult:
     """Run a day, given as a plan's table, in virtual time; raises PlanError if the plan is invalid."""
     plan = plans.build(table, str(table.get("title", "day")))
     start_s = time.monotonic()
@@ -74,7 +74,7 @@
 def still_fails(table: shrink.Table, seed: int, kind: str) -> bool:
     """Return whether a candidate is a valid plan and still fails with this kind."""
     try:
-        return kind in play(table, seed).kinds
+        return kind in run_day(table, seed).kinds
     except plans.PlanError:
         return False
 
@@ -129,7 +129,7 @@
     result, start_s, reported_s = ExploreResult(), time.monotonic(), 0.0
     log.info("days=%d jobs=%d", count, jobs)
     for (table, seed), day_result in run_parallel(
-        pool, play, seeded_days, jobs, lambda: should_stop(time.monotonic() - start_s)
+        pool, run_day, seeded_days, jobs, lambda: should_stop(time.monotonic() - start_s)
     ):
         add_result(result, seed, table, day_result)
         result.elapsed_s = time.monotonic() - start_s
--- a/hookport/emulator/whole.py
+++ b/hookport/emulator/whole.py
@@ -106,11 +106,11 @@
         self.start_ns = 0
         self.digest = ""
 
-    def record_event(self, what: str, slot: LimiterSlot, **fields: Any) -> None:
-        self.recorder.record({"t": Place.clock_ns(), "e": "limiter", "l": slot.number, "what": what,
-                            "p": slot.starts, **fields})  # fmt: skip
+    def record_event(self, event: str, slot: LimiterSlot, **fields: Any) -> None:
+        self.recorder.record({"t": Place.clock_ns(), "e": "limiter", "l": slot.number, "what": event,
+                              "p": slot.starts, **fields})  # fmt: skip
 
-    async def play(self) -> list[Row]:
+    async def execute(self) -> list[Row]:
         plan, count = self.plan, self.plan.limiters.count
         ports = [self.network.allocate_port() for _ in range(count)]
         peer_ports = [self.network.allocate_port() for _ in range(count)] if plan.peers.allowed else []
@@ -137,7 +137,11 @@
         earliest_end_ns = self.start_ns + round((plan.length_s + AFTER_S) * 1e9)
         while (now_ns := Place.clock_ns()) < latest_end_ns:
             desks = self.desks
-            if now_ns > earliest_end_ns and not desks.open_due_ns and desks.next_arrival == len(desks.arrivals):
+            if (
+                now_ns > earliest_end_ns
+                and not desks.open_due_ns
+                and desks.next_arrival == len(desks.arrivals)
+            ):
                 return
             progress = self.progress
             progress.stage, progress.passed_s = "playing", max(0.0, (now_ns - self.start_ns) / 1e9)
@@ -209,8 +213,8 @@
         context.run(CURRENT_PROCESS.set, slot.process)
         self.loop.call_soon(function, *args, context=context)
 
-    def start_task(self, function: Any) -> None:
-        task: asyncio.Task[None] = self.loop.create_task(function)
+    def start_task(self, coroutine: Any) -> None:
+        task: asyncio.Task[None] = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.on_task_done)
 
@@ -322,7 +326,7 @@
         loop.set_exception_handler(on_unhandled)
         run = VirtualRun(plan, seed, loop, progress or Progress(), on_progress)
         try:
-            rows = loop.run_until_complete(run.play())
+            rows = loop.run_until_complete(run.execute())
         except ConfigError as error:
             raise WholeError(str(error)) from error
         if unhandled:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -25,7 +25,7 @@
 def test_day_that_once_broke_a_rule_passes(path: Path) -> None:
     table = tomllib.loads(path.read_text())
     seed = int(table["title"].split(":")[0].removeprefix("seed "))
-    result = explore.play(table, seed)
+    result = explore.run_day(table, seed)
     assert result.kinds == (), result.first_breach
 
 
@@ -136,8 +136,8 @@
     table = tomllib.loads(found.read_text())
     assert shrink.count_keys(table) < shrink.count_keys(days.plan_table(1, 4.0))
     with ProcessPoolExecutor(1, initializer=explore.initialize_worker, initargs=("lets-all-in",)) as pool:
-        assert "quota" in pool.submit(explore.play, table, 1).result().kinds
-    assert explore.play(table, 1).kinds == ()
+        assert "quota" in pool.submit(explore.run_day, table, 1).result().kinds
+    assert explore.run_day(table, 1).kinds == ()
 
 
 def test_interruption_finishes_running_days_and_prints_the_result(tmp_path: Path) -> None:
@@ -170,7 +170,7 @@
         raise KeyError(7)
 
     monkeypatch.setattr("hookport.node.Node.attempt_ended", raise_key_error)
-    result = explore.play(tiny_day(1), 1)
+    result = explore.run_day(tiny_day(1), 1)
     assert result.kinds == ("error unhandled exception",) and "KeyError: 7" in result.first_breach
 
 
