--- a/hookport/emulator/whole.py
+++ b/hookport/emulator/whole.py
@@ -308,7 +308,9 @@
         yield loop
     finally:
         logger.removeHandler(null_handler)
-        Environment.host, Environment.clock_ns, Environment.unix_ns, Environment.allocate_port = saved_environment
+        Environment.host, Environment.clock_ns, Environment.unix_ns, Environment.allocate_port = (
+            saved_environment
+        )
         asyncio.set_event_loop(None)
         loop.close()
 
