--- a/benchmarks/kit_rate.py
+++ b/benchmarks/kit_rate.py
@@ -1,11 +1,11 @@
-"""The request rate that the rehearsal kit sustains before its own delays distort a run.
+"""The request rate that the rehearsal test harness sustains before its own delays distort a run.
 
     python benchmarks/kit_rate.py [--servers] [RATE ...]
 
-The limiters are replaced by a stub that answers at once, so that only the kit is measured: clients, history
-and judgement. With --servers they are six plain limiters that forward every request, so that the simulated
-servers work too. Printed for each rate: the requests sent per second, the delay of their sending (p50 and
-p99, ms), the longest delay of an event loop of the kit, and whether the run would be valid.
+The limiters are replaced by a stub that answers at once, so that only the test harness is measured: clients,
+history and judgement. With --servers they are six plain limiters that forward every request, so that the
+simulated servers work too. Printed for each rate: the requests sent per second, the delay of their sending
+(p50 and p99, ms), the longest delay of an event loop of the harness, and whether the run would be valid.
 """
 
 from __future__ import annotations
--- a/hookport/rehearsal/__init__.py
+++ b/hookport/rehearsal/__init__.py
@@ -1,4 +1,4 @@
-"""The rehearsal kit: runs real limiters against simulated peers on loopback and checks what they did.
+"""The test harness: runs real limiters against simulated peers on loopback and checks what they did.
 
 ``Play`` runs a plan and writes a history, ``judge_file`` checks a history against the rules and scores it.
 Tests also use the simulated peers of ``hookport.rehearsal.standins`` and the scripted peers of
--- a/hookport/rehearsal/fixtures.py
+++ b/hookport/rehearsal/fixtures.py
@@ -1,4 +1,4 @@
-"""Pytest fixtures of the rehearsal kit; load them with ``pytest_plugins = ["hookport.rehearsal.fixtures"]``.
+"""Pytest fixtures of the test harness; load them with ``pytest_plugins = ["hookport.rehearsal.fixtures"]``.
 
 ``rehearse``       run a plan (a bundled name, a path or a Plan) with the daemon or another command and return
                    its Judgement; a run that is void because the machine was too busy is repeated once
@@ -23,6 +23,8 @@
 
 
 class Rehearse(Protocol):
+    """The type of the ``rehearse`` fixture."""
+
     def __call__(self, plan: Plan | str, seed: int = 1, command: Sequence[str] = DAEMON) -> Judgement: ...
 
 
--- a/hookport/rehearsal/plan.py
+++ b/hookport/rehearsal/plan.py
@@ -286,9 +286,9 @@
     worst_plan: Share = 0.25
     quota_over: NotNegative = 0.15  # units forwarded beyond the quotas, as a share of the units within them
     grace_ms: NotNegative = 50.0  # added to each time limit of the rules
-    late_ms: Positive = 50.0  # a request sent this late is a delay of the kit, not of the limiter
+    late_ms: Positive = 50.0  # a request sent this late counts as delayed by the test harness
     late_share: Share = 0.02  # share of such late requests that makes a run void
-    held_ms: Positive = 400.0  # longest delay of an event loop of the kit in a valid run
+    held_ms: Positive = 400.0  # longest delay of a test harness event loop in a valid run
     memory_growth_mb: Positive = 24.0  # growth of a limiter from the first third of the run to the last
 
 
--- a/hookport/rehearsal/play.py
+++ b/hookport/rehearsal/play.py
@@ -73,7 +73,7 @@
 
 
 def descriptors_needed(plan: plans.Plan) -> int:
-    """The largest number of file descriptors that one of the kit's processes may need."""
+    """The largest number of file descriptors that one process of the test harness may need."""
     listeners = plan.limiters.count * (plan.fleet.servers + 3)
     return listeners + plan.limiters.count * plan.limiters.sockets // 2 + SPARE_DESCRIPTORS
 
--- a/hookport/rehearsal/runtime.py
+++ b/hookport/rehearsal/runtime.py
@@ -1,4 +1,4 @@
-"""Shared by the kit's processes: host and clocks, free ports, loop lag, worker pipes, ordered replies."""
+"""Shared by the test harness processes: host, clocks, ports, loop lag, worker pipes, ordered replies."""
 
 from __future__ import annotations
 
