--- a/hookport/emulator/experiment_command.py
+++ b/hookport/emulator/experiment_command.py
@@ -27,7 +27,7 @@
 from hookport.emulator.parallel import interruptible, run_parallel
 from hookport.rehearsal import plan as plans
 
-EXIT_OK, EXIT_BAD_INPUT, EXIT_SIGINT = 0, 2, 130
+COMPLETED, BAD_INPUT, INTERRUPTED = 0, 2, 130
 LOG_INTERVAL_S = 10.0
 REPORT_PACKAGES = ("matplotlib",)
 SCORE_FIGURES = (  # fields of a score that each run records with it
@@ -208,6 +208,6 @@
         print(write_report(spec, runs, folder), end="")
     except ExperimentError as error:
         print(f"hookport experiment: {error}", file=sys.stderr)
-        return EXIT_BAD_INPUT
+        return BAD_INPUT
     print(f"report: {folder / 'report.html'}")
-    return EXIT_SIGINT if interrupted else EXIT_OK
+    return INTERRUPTED if interrupted else COMPLETED
--- a/hookport/emulator/explore.py
+++ b/hookport/emulator/explore.py
@@ -29,7 +29,7 @@
 from hookport.rehearsal import judgement, mutants
 from hookport.rehearsal import plan as plans
 
-EXIT_OK, EXIT_RULE_BROKEN, EXIT_BAD_INPUT, EXIT_SIGINT = 0, 1, 2, 130
+RULES_KEPT, RULE_BROKEN, BAD_INPUT, INTERRUPTED = 0, 1, 2, 130
 MAX_SHRINK_CANDIDATES = 150  # candidates that are run to shrink one finding
 LOG_INTERVAL_S = 10.0
 log = logging.getLogger("hookport.explore")
@@ -247,7 +247,7 @@
         print(f"  reproduce: hookport rehearse {finding.path} --in whole --seed {finding.seed}")
     if not result.findings:
         print("no rule was broken")
-    return EXIT_RULE_BROKEN if result.findings else EXIT_OK
+    return RULE_BROKEN if result.findings else RULES_KEPT
 
 
 def main(arguments: Sequence[str]) -> int:
@@ -257,7 +257,7 @@
         plan = load_plan(args)
     except (plans.PlanError, whole.WholeError) as error:
         print(f"hookport explore: {error}", file=sys.stderr)
-        return EXIT_BAD_INPUT
+        return BAD_INPUT
     with (
         interruptible() as interrupted,
         ProcessPoolExecutor(args.jobs, initializer=initialize_worker, initargs=(args.mutant,)) as pool,
@@ -273,4 +273,4 @@
             finding.path = Path(args.keep) / f"{finding.kind.replace(' ', '-')}-{finding.seed}.toml"
             finding.path.write_text(days.to_toml(finding.table))
     status = print_result(result, args)
-    return EXIT_SIGINT if interrupted.is_set() else status
+    return INTERRUPTED if interrupted.is_set() else status
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -57,7 +57,7 @@
     file = write_experiment(tmp_path, TWO_FACTORS.replace("LEVEL", str(policy.MAX_QUOTA_WAIT_SHARE)))
     out = tmp_path / "out"
     assert (
-        experiment_command.main([str(file), "--out", str(out), "--jobs", "4"]) == experiment_command.EXIT_OK
+        experiment_command.main([str(file), "--out", str(out), "--jobs", "4"]) == experiment_command.COMPLETED
     )
     output = capsys.readouterr().out
     assert "| hold 0.0 | " in output and "| retries 0 | " in output
@@ -77,7 +77,7 @@
     lines = first_contents.splitlines(keepends=True)
     (out / "runs.jsonl").write_bytes(b"".join(lines[:6]) + lines[6][:20])
     assert (
-        experiment_command.main([str(file), "--out", str(out), "--jobs", "4"]) == experiment_command.EXIT_OK
+        experiment_command.main([str(file), "--out", str(out), "--jobs", "4"]) == experiment_command.COMPLETED
     )
     second_contents = (out / "runs.jsonl").read_bytes()
     assert second_contents.startswith(b"".join(lines[:6]))
@@ -87,13 +87,13 @@
 
     # Runs of another experiment or of other sources are not mixed into the results.
     other = write_experiment(tmp_path, TWO_FACTORS.replace("LEVEL", "0.123"))
-    assert experiment_command.main([str(other), "--out", str(out)]) == experiment_command.EXIT_BAD_INPUT
+    assert experiment_command.main([str(other), "--out", str(out)]) == experiment_command.BAD_INPUT
     assert "another experiment" in capsys.readouterr().err
     file = write_experiment(tmp_path, TWO_FACTORS.replace("LEVEL", first))
     changed = [json.loads(line) for line in lines[1:]]
     changed[0]["code"] = "0" * 16
     (out / "runs.jsonl").write_bytes(lines[0] + b"".join(json.dumps(run).encode() + b"\n" for run in changed))
-    assert experiment_command.main([str(file), "--out", str(out)]) == experiment_command.EXIT_BAD_INPUT
+    assert experiment_command.main([str(file), "--out", str(out)]) == experiment_command.BAD_INPUT
     assert "line 2: executed with other sources" in capsys.readouterr().err
 
 
@@ -141,7 +141,7 @@
     file = tmp_path / "e.toml"
     title = "" if "title" in head else "title = 'x'"
     file.write_text(f"{title}\n{head}\n[[factor]]\nname = 'a'\nlevels = [1, 2]\n{factor}\n")
-    assert experiment_command.main([str(file)]) == experiment_command.EXIT_BAD_INPUT
+    assert experiment_command.main([str(file)]) == experiment_command.BAD_INPUT
     error_output = capsys.readouterr().err
     assert message in error_output and error_output.count("\n") == 1 and not (tmp_path / "e").exists()
 
@@ -292,6 +292,6 @@
 ) -> None:
     monkeypatch.setattr(experiment_command, "REPORT_PACKAGES", ("matplotlib", "no_such_package"))
     file = write_experiment(tmp_path, TWO_FACTORS.replace("LEVEL", "0.6"))
-    assert experiment_command.main([str(file)]) == experiment_command.EXIT_BAD_INPUT
+    assert experiment_command.main([str(file)]) == experiment_command.BAD_INPUT
     assert "no_such_package: pip install 'hookport[experiments]'" in capsys.readouterr().err
     assert not (tmp_path / "e").exists()
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -129,7 +129,7 @@
     monkeypatch.setattr(days, "plan_table", lambda seed, length_s: tiny_day(seed, desk=[greedy]))
     args = ["--days", "3", "--jobs", "2", "--keep", str(tmp_path), "--shrink", "12"]
     args += ["--mutant", "lets-all-in"]
-    assert explore.main(args) == explore.EXIT_RULE_BROKEN
+    assert explore.main(args) == explore.RULE_BROKEN
     output = capsys.readouterr().out
     (found,) = tmp_path.glob("quota-*.toml")
     assert "quota: " in output and f"hookport rehearse {found} --in whole --seed 1" in output
@@ -147,7 +147,7 @@
     assert explorer.stderr and b"days=9999 jobs=2" in explorer.stderr.readline()  # it is running
     explorer.send_signal(signal.SIGINT)
     out, err = explorer.communicate(timeout=60)
-    assert explorer.returncode == explore.EXIT_SIGINT, err
+    assert explorer.returncode == explore.INTERRUPTED, err
     assert b"Traceback" not in err and (b"no rule was broken" in out or b"reproduce: " in out)
 
 
@@ -187,6 +187,6 @@
 def test_invalid_arguments_are_rejected_in_one_line(
     args: list[str], message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert explore.main(args) == explore.EXIT_BAD_INPUT
+    assert explore.main(args) == explore.BAD_INPUT
     error_output = capsys.readouterr().err
     assert message in error_output and error_output.count("\n") == 1
