--- a/aniseshed/policy.py
+++ b/aniseshed/policy.py
@@ -71,7 +71,7 @@
         self.timer_token, self.limiters = 0, max(1, settings.limiters)
         self.accounts: dict[int, Account] = {}
         self.servers: dict[bytes, Server] = {}
-        self.ring, self.ejected = list[Server](), set[Server]()
+        self.server_order, self.ejected = list[Server](), set[Server]()
         self.pending: dict[int, PendingRequest] = {}
         self.in_flight: dict[tuple[int, int], Attempt] = {}
         self.timers: dict[int, tuple[Callable[..., object], PendingRequest | bool | None]] = {}
@@ -478,12 +478,12 @@
         if event.kind is ListKind.CACHED and self.settings.subscribe:
             self.actions.append(api.Watch(True))
         apply_server_list(self.servers, event)
-        # Each limiter walks the ring from its own offset, so that it uses few servers and every server is
-        # used by about as many limiters.
+        # Each limiter walks the servers in a fixed order from its own offset, so that it uses few servers and
+        # every server is used by about as many limiters.
         keys = sorted(self.servers, key=zlib.crc32)
         start = self.settings.index * len(keys) // self.limiters
         servers = (self.servers[key] for key in keys[start:] + keys[:start])
-        self.ring = [server for server in servers if server.entry.trust]
+        self.server_order = [server for server in servers if server.entry.trust]
         self.concurrency_limit = (
             self.concurrency_limit or INITIAL_LIMIT_PER_SERVER * len(self.servers) / self.limiters
         )
@@ -537,7 +537,7 @@
         is_safe = self.settings.classes[request.traffic_class].idempotency is Idempotency.SAFE
         self.ejected = {server for server in self.ejected if server.ejected_until_ns > self.now_ns}
         ejection_enabled = len(self.ejected) <= MAX_EJECTED_SHARE * len(self.servers)
-        for server in self.ring:
+        for server in self.server_order:
             ejected = ejection_enabled and (
                 server.ejected_until_ns > self.now_ns or (server.on_probation and server.in_flight)
             )
--- a/hookport/rehearsal/mutants.py
+++ b/hookport/rehearsal/mutants.py
@@ -161,7 +161,7 @@
 
     def make(old: Any) -> Any:
         def pick_server(self: Any, tried: Any, request: Any) -> Any:
-            ready = [s for s in self.ring if s.entry.health is api.Health.READY]
+            ready = [s for s in self.server_order if s.entry.health is api.Health.READY]
             young = max(ready, key=lambda s: s.started_ns, default=None)
             return young if young and young.started_ns and young not in tried else old(self, tried, request)
 
