--- a/aniseshed/account.py
+++ b/aniseshed/account.py
@@ -1,12 +1,12 @@
-"""A customer's quota as one limiter keeps it: its slice, an estimate of the whole balance, and its reports.
+"""A customer's quota at one limiter: its slice, an estimate of the whole balance, and its reports.
 
 The counter keeps one total per customer and time window: the sum of what all limiters reported.
 
 - *Reports.*  The limiter that charged units reports them, once: with the next call that asks for units, or
-  with a call of its own.  Units asked for and not granted, or charged for a request of which nothing was
+  with a call of its own.  Units asked for and not granted, or charged for a request that was never
   sent, are taken back.
 - *A new window* begins with a total of zero, though the balance does not start anew.  The first limiter to
-  call carries over what is missing from the balance by its own account.  The others must not subtract that a
+  call carries over what is missing from its own balance.  The others must not subtract that a
   second time (``expected_debt``).
 - *Timed-out calls* are uncertain until they are resolved: by their own late answer, or by the next total
   under the same key, whose sequence digit shows whether they were added (``aniseshed/sequence_digits.py``).
@@ -29,7 +29,7 @@
 # Lifetime of a total, in times that the burst takes to refill.  Long, because each end of a window loses what
 # was not reported by then.
 WINDOW_BURSTS = 2.5
-MAX_WINDOW_NS = 60 * SECOND_NS  # no counter keeps a key longer
+MAX_WINDOW_NS = 60 * SECOND_NS  # Counters keep a key for at most 60 s.
 # Lowest balance, in bursts: the largest debt that requests beyond the quota can leave.
 MIN_BALANCE_BURSTS = -0.5
 # Local charges are reported by a call of their own once they reach this share of the limiter's slice of the
@@ -38,12 +38,12 @@
 # How long a call that is presumed lost may still be added.  In that time no other call advances the digit:
 # two advances at once would carry into the next digit.
 LATE_CALL_NS = SECOND_NS
-# The most that a total decreases as others take back units: asked for and refused at each of a few limiters.
-# In units, and in bursts.
+# Largest decrease of a total between two reads, in units and in bursts: a few other limiters take back units
+# that they asked for and were refused.
 TOTAL_DECREASE_UNITS, TOTAL_DECREASE_BURSTS = 4.0, 0.1
 # Time within which all limiters report again what a reset total has lost.
 RESYNC_NS = 2 * SECOND_NS
-ROUNDING_UNITS = 0.01  # totals come with seven digits
+ROUNDING_UNITS = 0.01  # Totals have seven significant digits, so smaller differences may be rounding.
 # Initial estimate of the calls, by all limiters together, that the counter serves within one time-out.
 CALLS_PER_TIMEOUT = 20.0
 # Factors of the interval between calls for an answer and for a miss.
@@ -163,11 +163,11 @@
     withheld_refill: float = 0.0  # refill during a silence: others may have spent it and not reported it yet
     slice_capped_ns: int = -1  # start of the silence in which the slice was cut to its share of the balance
     digits: SequenceDigits | None = None
-    digit: int | None = None  # this limiter's digit in the last total; None: unknown
+    digit: int | None = None  # this limiter's digit in the last total; None if unknown
     digit_call: CounterCall | None = None  # the one unresolved call that advances the digit
     uncertain_calls: list[CounterCall] = field(default_factory=list)  # of the current key, by call id
-    known_before: bool = False  # this limiter called for the customer before the current window
-    others_knew: bool = True  # so did another limiter that has advanced its digit in the current total
+    known_before: bool = False  # this limiter made a call for the customer before the current window
+    others_knew: bool = True  # so did another limiter, which has advanced its digit in the current total
     total_lost: bool = False  # the digit shows that the total has lost what was added
     quota_share: float = 1.0  # share of the quota that belongs to this side of a split counter
     split_healed: bool = False  # a split has healed: what the other side had counted is not new
@@ -287,7 +287,7 @@
         return self.unreported >= max(self.min_report_units, REPORT_SHARE * self.balance / self.set_size)
 
     def start_call(self, now_ns: int, request_id: int, units: float, call_id: int = 0) -> CounterCall:
-        """A call that asks for these units and reports all local charges since the last call."""
+        """Start a call that asks for these units and reports all local charges since the last call."""
         window = now_ns // self.window_ns
         if window != self.call_window:
             self.start_window(now_ns, window)
@@ -313,14 +313,14 @@
         for call in self.uncertain_calls:
             self.on_added(now_ns, call)
         if self.call_window and self.digits and self.digits.weight:
-            self.digit = 0  # it was running before this window began, so it has no digit in the new total
+            self.digit = 0  # running before this window began, the limiter has no digit in the new total
         owed = min(max(0.0, self.unreported), max(0.0, self.burst - self.refill(now_ns)))
         self.expired += owed - self.unreported
         self.known_before, self.unreported, self.call_window = self.call_window > 0, owed, window
         self.uncertain_calls, self.digit_call, self.late_digit_call, self.early_units = [], None, None, 0.0
 
     def on_answer(self, now_ns: int, call: CounterCall, total: float) -> bool:
-        """Handle an answer; whether it grants the units asked for, which are then charged."""
+        """Handle an answer; return whether it grants the units asked for, which are then charged."""
         current, status = call.key == self.counter_key(now_ns), call.status
         if status in (CallStatus.LOST, CallStatus.RESOLVED):
             if status is CallStatus.LOST and current:
@@ -415,7 +415,7 @@
         if call.key == self.counter_key(now_ns):
             self.unreported -= call.units
         else:
-            self.expired += call.units  # with their window
+            self.expired += call.units  # They expired with the window to which they were added.
 
     def on_rejected(self, call: CounterCall) -> None:
         """The counter rejected the call or never received it; that may become known only after a time-out."""
@@ -463,7 +463,7 @@
         if lost and self.total is not None and self.total_window == window:
             self.recover_lost_total(now_ns, total - added, self.total)
         elif self.total is None or self.total_window != window:
-            # What is missing from the balance by this limiter's own account, without what this call reports.
+            # What is missing from this limiter's balance, without what this call reports.
             debt = max(0.0, self.burst - balance - max(0.0, call.local_units))
             known, self.expected_debt = self.total is not None, 0.0
             if known and (not self.others_knew or total <= added + self.early_units + ROUNDING_UNITS):
@@ -551,7 +551,7 @@
         self.bucket.stored_permits = min(self.bucket.stored_permits, share)
 
     def imbalance(self) -> float:
-        """How far the account is from balanced, in units: 0 but for rounding."""
+        """Difference between what was reported and what was charged, in units: 0 except for rounding."""
         return (
             self.reported + self.unreported + self.in_flight - self.charged - self.carried_over - self.expired
         )
--- a/aniseshed/bound.py
+++ b/aniseshed/bound.py
@@ -9,7 +9,7 @@
 
 
 def bounds(settings: Settings, limiters: int, counter_health: CounterHealth) -> tuple[float, ...]:
-    """The present bound for a customer of each plan, in units, with all limiters in the customer's set."""
+    """The current bound for a customer of each plan, in units, with all limiters in the customer's set."""
     largest_units = float(max(1, settings.largest_units))
     return tuple(
         bound_units(
@@ -38,7 +38,7 @@
 
     The bound covers the time from a change of state through the next window, in which 2.5 bursts are
     refilled. Each further window may add the bound of the healthy state, and the rate times the difference of
-    the limiters' clocks, which is what the edge of a window hides.
+    the limiters' clocks, because at the end of a window they use two totals at once.
 
     ``rate`` is in units per second, ``burst`` and ``largest_units`` (one request) are in units.
     ``report_share`` is the part of its share of the balance that a limiter spends before it reports,
@@ -59,6 +59,6 @@
         # Both sides spend the same balance until the heartbeats show the split; then each keeps to its share.
         return unreported + burst + rate * (ABSENT_HEARTBEATS + 1) * HEARTBEAT_INTERVAL_NS / SECOND_NS
     if state is CounterState.REPLACED:
-        # Includes what the lost count contained and a limiter did not know.
+        # Includes units that only the lost total contained and that a limiter had not read.
         return 2 * unreported + set_size * largest_units
     return unreported
--- a/aniseshed/counter_call.py
+++ b/aniseshed/counter_call.py
@@ -1,4 +1,4 @@
-"""A call to the counter and what is known of its result; the account keeps it until it is resolved."""
+"""A call to the counter and what is known about its result; the account keeps it until it is resolved."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class CallStatus(Enum):
-    """What is known of a call.  The units that it reports count once, whichever status follows which."""
+    """What is known about a call.  Its units count once, whatever the order of the status changes."""
 
     IN_FLIGHT = "out"
     RESOLVED = "ended"  # answered, rejected, or resolved by a later total
--- a/aniseshed/counter_health.py
+++ b/aniseshed/counter_health.py
@@ -1,6 +1,6 @@
 """The health of the counter as one limiter sees it; docs/operating/counter.md says what holds in each state.
 
-A counter that answers with something that is no number counts as silent.
+Answers that are not numbers count as missing answers.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 
 from aniseshed.partition import SECOND_NS
 
-# Time-outs without any answer after which the counter counts as silent.  A connection that fell silent is
-# given up after one.
+# Time-outs without any answer after which the counter counts as silent.  The daemon abandons a
+# silent connection after one.
 SILENT_TIMEOUTS = 6.0
 MISS_EWMA_WEIGHT = 0.1  # weight of one call's result in the moving average of misses
 SLOW_MISS_RATE = 0.5  # miss rate above which the counter counts as slow
--- a/aniseshed/exhausted_quotas.py
+++ b/aniseshed/exhausted_quotas.py
@@ -4,7 +4,7 @@
 
 Each of several hundred limiters sees such a customer only now and then and finds its small share of the quota
 still full, so without a counter call all of them would let it in.  A message makes them leave the customer to
-the counter for a while.  A lost message does no harm: things stay as they were without it.
+the counter for a while.  A lost message is harmless: that limiter decides as without it.
 """
 
 from __future__ import annotations
--- a/aniseshed/interface.py
+++ b/aniseshed/interface.py
@@ -56,7 +56,7 @@
     """Confidence that the listed server is still the one at its address; set outside of this package.
 
     Below TOLD a server gets one attempt at a time from this limiter until it has answered and its trust is
-    raised."""
+    raised. ``hookport kept`` prints the members' names."""
 
     NONE = 0  # No requests are sent to the server.
     SAFE = 1  # Only requests that are safe to repeat are sent.
@@ -168,7 +168,7 @@
 
     ``presumed_start_ns`` is the time of a possible restart that no list has reported but that cannot be ruled
     out, 0 if there is none. From then on the server gets one attempt in flight, and one more for each answer,
-    until a list says otherwise."""
+    until a list reports that it has not restarted."""
 
     server: bytes
     zone: int
@@ -316,7 +316,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: the request was not executed, or repeating it does no harm.
+    """Final answer: the request was not executed, or repeating it is harmless.
 
     ``retry_after_ns`` advises the client when to try again; 0 gives no advice."""
 
--- a/aniseshed/partition.py
+++ b/aniseshed/partition.py
@@ -1,4 +1,4 @@
-"""Detects partitions by heartbeats through the counter: which limiters reach the same counter as this one.
+"""Detects which limiters reach the same counter as this one, by heartbeats through the counter.
 
 Derivation: docs/design/counter-lost.md.
 
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class PartitionDetector:
-    """Which limiters of its group one limiter sees on its side of the counter.
+    """Tracks which limiters of its group are on one limiter's side of the counter.
 
     Times are in nanoseconds on the limiter's clock.
     """
@@ -63,9 +63,9 @@
     limiters: int
     start_ns: int
     has_peer_messages: bool  # whether limiters may send one another datagrams
-    enabled: bool = False  # some customer's set fits into one group: larger sets are never divided
+    enabled: bool = False  # whether some customer's set fits into one group; larger sets are never divided
     epoch: int = -1
-    digit: int | None = None  # this limiter's digit under the current key; None: unknown
+    digit: int | None = None  # this limiter's digit under the current key; None if unknown
     pending: Heartbeat | None = None  # the unresolved heartbeat that advances the digit
     total: int = 0  # as last read
     reads: int = 0  # answers that showed who advanced
@@ -73,7 +73,7 @@
     last_missed: dict[int, int] = field(default_factory=dict)  # limiter -> last read at which it was absent
     message_ns: dict[int, int] = field(default_factory=dict)  # limiter -> time of its last datagram
     resumed_ns: dict[int, int] = field(default_factory=dict)  # limiter -> its first datagram after a pause
-    split: frozenset[int] = frozenset()  # limiters on another side
+    split: frozenset[int] = frozenset()  # limiters on another side of the split
     lost_ns: int = -READ_ONLY_NS  # when this limiter's own digit was last found lost
     read_only_until_ns: int = 0
 
@@ -114,7 +114,7 @@
         return self.pending
 
     def on_answer(self, now_ns: int, heartbeat: Heartbeat, total: float) -> bool:
-        """Read the total that answers a heartbeat; whether it shows that this limiter's digit was lost."""
+        """Read the total that answers a heartbeat; return whether this limiter's digit was lost."""
         if heartbeat.key != self.counter_key(self.epoch) or not abs(total) < DIGIT_BASE**GROUP_SIZE:
             return False
         read = round(total)
--- a/aniseshed/policy.py
+++ b/aniseshed/policy.py
@@ -1,8 +1,8 @@
 """The decision logic of a limiter; its events and actions are defined in aniseshed/interface.py.
 
-Each limiter holds a slice of every customer's quota in a SmoothBursty. A request beyond the slice is asked of
-the shared counter, and without a grant it waits for a permit or is refused. The accounting of a quota is in
-aniseshed/account.py."""
+Each limiter holds a slice of every customer's quota in a SmoothBursty. For a request beyond the slice it asks
+the shared counter; without a grant the request waits for a permit or is refused. The accounting of a quota is
+in aniseshed/account.py."""
 
 from __future__ import annotations
 
@@ -30,33 +30,33 @@
 from aniseshed.sequence_digits import assign_digit
 from aniseshed.state import Attempt, PendingRequest, Server, TimeAverage, apply_server_list
 
-MAX_LATE_CALLS = 500  # timed-out counter calls kept in case a late answer comes; a few hundred bytes each
+MAX_LATE_CALLS = 500  # Timed-out counter calls remembered for a late answer; a few hundred bytes each.
 MIN_COUNTER_TIMEOUTS_LEFT = 3.0  # The counter is asked only if the client still waits this many time-outs.
-MAX_QUOTA_WAIT_SHARE = 0.4  # of the latency target; a longer wait for quota leaves no time to be served
+MAX_QUOTA_WAIT_SHARE = 0.4  # Share of the latency target; a longer wait for quota leaves no time to serve.
 ACCOUNT_IDLE_WINDOWS = 2.0  # An account idle for this many windows has a full bucket and is dropped.
-EWMA_WEIGHT = 0.1  # of one answer in the running means, so about ten answers establish a change
-MAX_LATENCY_RATIO = 3.0  # bounds an answer's latency over the mean; this much alone shows a slow server
-MAX_CANDIDATES = 8  # servers per limiter, few enough to learn each one's latency from its own answers
-FULL_BACKOFF_TARGETS = 2.0  # latency targets for which a plan and class skip a server that was full for them
-EJECT_FAILURES = 2  # consecutive failures that eject a server; a single one may be chance
-EJECTION_CONNECT_TIMEOUTS = 4.0  # length of an ejection; afterwards one attempt at a time
-MAX_EJECTED_SHARE = 0.5  # of the servers; if more fail, the fault is not theirs and none is skipped
-UNPROVEN_TIMEOUT_SHARE = 0.3  # of the latency target; the time limit of an attempt at an unproven server
+EWMA_WEIGHT = 0.1  # Weight of one answer in the running means: about ten answers establish a change.
+MAX_LATENCY_RATIO = 3.0  # Cap on an answer's latency over the mean; this ratio alone shows a slow server.
+MAX_CANDIDATES = 8  # Servers per limiter, few enough to learn each one's latency from its own answers.
+FULL_BACKOFF_TARGETS = 2.0  # Latency targets for which a plan and class skip a server that was full for them.
+EJECT_FAILURES = 2  # Consecutive failures that eject a server; a single one may be chance.
+EJECTION_CONNECT_TIMEOUTS = 4.0  # Length of an ejection; then one attempt at a time is sent.
+MAX_EJECTED_SHARE = 0.5  # Share of the servers; if more fail, the fault is elsewhere and none is skipped.
+UNPROVEN_TIMEOUT_SHARE = 0.3  # Share of the latency target that an attempt at an unproven server may take.
 # Share of the overload multiple that crashes a cold server, so that all limiters together stay below it.
 COLD_PACE_SHARE = 0.5
-RESUBSCRIBE_SHARE = 0.2  # of the time allowed to resubscribe; the delay is one to two times this share
-LATE_TARGET_SHARE = 0.75  # of the latency target; later answers count as late while there is time to react
-CONGESTION_LATE_SHARE = 0.15  # share of late answers that shows congestion; above the tail of the work itself
-LATE_EWMA_WEIGHT = 0.05  # of one answer in the share of late ones; a few late answers in a row are chance
-DECREASE_FACTOR = 0.75  # multiplies the limit, once for all attempts sent since the last decrease
-INITIAL_LIMIT_PER_SERVER = 3.0  # attempts in flight per server, over all limiters together
-MIN_USE_TO_INCREASE = 0.5  # of the limit; below this use, answers in time do not raise it
-INCREASE_PER_ANSWER = 0.08  # added per answer in time, at most 1 for each round of `limit` answers
-LOWEST_VALUE_LIMIT_SHARE = 0.5  # of the limit; the rest is kept for requests of a higher value
-RETRY_RATIO = 0.15  # retries allowed per first attempt, so that retries never double the load
-MAX_RETRY_TOKENS = 10.0  # retries that may be saved up for a sudden failure
-MAX_RESYNCED_ACCOUNTS = 64  # reported again unasked after the counter was replaced, the most recently used
-HEARTBEAT_PAYLOAD = b"here"  # datagram to the other limiters, once per heartbeat
+RESUBSCRIBE_SHARE = 0.2  # Share of the time allowed to resubscribe; the delay is one to two times this.
+LATE_TARGET_SHARE = 0.75  # Share of the latency target; later answers count as late, in time to react.
+CONGESTION_LATE_SHARE = 0.15  # Share of late answers that shows congestion; the work's own tail causes less.
+LATE_EWMA_WEIGHT = 0.05  # Weight of one answer in the share of late ones; a few late in a row may be chance.
+DECREASE_FACTOR = 0.75  # Multiplies the limit, once for all attempts sent since the last decrease.
+INITIAL_LIMIT_PER_SERVER = 3.0  # Attempts in flight per server, over all limiters together.
+MIN_USE_TO_INCREASE = 0.5  # Share of the limit; below this use, answers in time do not raise it.
+INCREASE_PER_ANSWER = 0.08  # Added per answer in time, at most 1 for each round of `limit` answers.
+LOWEST_VALUE_LIMIT_SHARE = 0.5  # Share of the limit; the rest is reserved for requests of a higher value.
+RETRY_RATIO = 0.15  # Retries allowed per first attempt, so that retries never double the load.
+MAX_RETRY_TOKENS = 10.0  # Retries that may be saved up for a sudden failure.
+MAX_RESYNCED_ACCOUNTS = 64  # Most recently used accounts, reported again after the counter was replaced.
+HEARTBEAT_PAYLOAD = b"here"  # Datagram to the other limiters, sent once per heartbeat.
 NEVER_EXECUTED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
@@ -179,7 +179,7 @@
             self.admit(pending, account)
 
     def peek(self, pending: PendingRequest, refused: bool) -> None:
-        """Answer what a take would return by this limiter's own estimate, without a counter call."""
+        """Answer whether a take would be granted, by this limiter's own estimate, without a call."""
         del self.pending[pending.request.request_id]
         remaining = max(0.0, pending.account.refill(self.now_ns)) if pending.plan.rate > 0 else math.inf
         refill_ns = max(0.0, pending.units - remaining) / max(pending.account.rate, 1e-9) * SECOND_NS
@@ -310,7 +310,7 @@
             self.actions.append(api.Log(self.report().to_log_line()))
 
     def start_resync(self) -> None:
-        """Collect the accounts that the counter may not know after a silence or a replacement."""
+        """Collect the accounts whose units the counter may lack after a silence or a replacement."""
         resyncing = bool(self.unsynced)
         reported = [
             account
--- a/aniseshed/sequence_digits.py
+++ b/aniseshed/sequence_digits.py
@@ -17,8 +17,8 @@
 from dataclasses import dataclass
 
 MIN_STEP = 2.0**-9  # in units; a counter that keeps three decimals still represents it
-# Distance from the grid, in steps, from which on no digit is read: rounding leaves less, so the counter's
-# precision does not reach.
+# Distance from the grid, in steps, beyond which no digit is read: rounding alone causes less, so the counter
+# is not precise enough.
 MAX_OFFSET_STEPS = 0.3
 # Bits of the grid in one span.  Two spans take 19 bits, five fewer than a float32 has.
 GRID_BITS = 18
@@ -60,7 +60,7 @@
 
     @classmethod
     def for_burst(cls, burst: float, position: int, size: int) -> SequenceDigits | None:
-        """The layout of ``size`` digits; None if a total has no room for them.
+        """The layout of ``size`` digits; None if they do not fit into a total.
 
         ``position`` is that of this limiter's digit, from 0; a limiter with a position outside has no digit.
         """
@@ -84,7 +84,7 @@
         return 3 - digit if digit else 1 if known_before else 3
 
     def others_knew(self, total: float, digit: int) -> bool:
-        """Whether another limiter's digit shows that it knew the customer before the present window.
+        """Whether another limiter's digit shows that it knew the customer before the current window.
 
         Base 2 cannot tell; then it is assumed.
         """
@@ -98,7 +98,7 @@
     def decode(self, total: float) -> tuple[float, int | None]:
         """A total without its digits, in units, and this limiter's digit.
 
-        The digit is None, and the total as it was, if the total is too large or off the grid.
+        If the total is too large or off the grid, the digit is None and the total is returned unchanged.
         """
         steps = round(total / self.step)
         if abs(total) > 2 * self.span or abs(total / self.step - steps) > MAX_OFFSET_STEPS:
