--- a/hookport/clients.py
+++ b/hookport/clients.py
@@ -24,16 +24,16 @@
 MAX_UNREAD_REPLY_BYTES = 1 << 20  # a client with more unread replies is disconnected
 ACCEPT_AFTER_SIGTERM_S = 0.5  # new connections still arrive for 0.4 s after SIGTERM
 TIMEOUT_CHECK_INTERVAL_S = 0.25
-# Of all connections, at most this share may be idle between requests: other clients need them for their own.
+# Largest share of the allowed connections that may be idle between requests; other clients need the rest.
 MAX_IDLE_SHARE = 0.35
 # A connection may be evicted once it has been in its state for this long; the first command of a new
 # connection arrives sooner.
 EVICTION_GRACE_S = 0.1
-CLOSE_LOG_INTERVAL_S = 5.0  # at most one log line in this time about closed connections and the reasons
+CLOSE_LOG_INTERVAL_S = 5.0  # minimum time between two log lines about closed connections
 
 
 class PendingReply:
-    """The place of one command's reply in the reply queue of its connection."""
+    """One command's reply, or a placeholder for it, in the reply queue of its connection."""
 
     __slots__ = ("connection", "on_disconnect", "reply")
 
@@ -80,7 +80,7 @@
         self.reading_paused = False
         self.write_paused = False
         self.parsing = False
-        self.closing = False  # no further command is read
+        self.closing = False  # If True, no further command is read.
         # Commands of any kind, valid requests, invalid commands.
         self.command_count, self.accepted_count, self.rejected_count = 0, 0, 0
 
@@ -122,7 +122,7 @@
             self.update_queue(self.command_count > count_before)
 
     def close_with_error(self, reason: str) -> None:
-        """Send an error and close the connection of a client that is out of protocol or too slow.
+        """Send an error and close the connection of a client that violates the protocol or is too slow.
 
         The requests that are still unanswered on the connection fail at once."""
         self.clients.close_counts[reason] += 1
@@ -304,7 +304,7 @@
         victim.close_when_answered()
 
     def evict_idle(self) -> None:
-        """Close the longest idle connection if idle ones occupy too many of the places for new requests."""
+        """Close the longest idle connection if idle ones take up too many of the allowed connections."""
         crowded = len(self.idle.entered_s) > MAX_IDLE_SHARE * self.max_connections
         if crowded and (oldest := self.idle.oldest(self.loop.time() - EVICTION_GRACE_S)):
             self.close_counts["evicted while idle"] += 1
--- a/hookport/config.py
+++ b/hookport/config.py
@@ -20,7 +20,7 @@
 
 
 class ConfigError(Exception):
-    """The configuration is invalid; the message says where and why."""
+    """The configuration is invalid; the message names the setting and the reason."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -122,7 +122,9 @@
     peers = tuple(parse_address(peer, f"peers[{n}]") for n, peer in enumerate(document.get("peers", ())))
     for n, peer in enumerate(peers):
         if (first := peers.index(peer)) != n:
-            log.warning("peers[%d] is the address of peers[%d]: the first is used", n, first)
+            log.warning(
+                "peers[%d] has the same address as peers[%d]: its datagrams count as the latter's", n, first
+            )
     if len(peers) != settings.limiters:
         raise ConfigError(
             f"peers has {len(peers)} addresses for {settings.limiters} limiters: it must list one for each"
--- a/hookport/counter.py
+++ b/hookport/counter.py
@@ -3,7 +3,7 @@
 
 One connection takes new calls. If it owes an answer and delivers nothing for as long as a call may wait, it
 is abandoned: new calls go to a new connection, and the old one stays open for a while, because a late answer
-still tells whether its call was added. If the new connection delivers nothing either, the counter itself is
+still shows whether its call was added. If the new connection delivers nothing either, the counter itself is
 slow or silent, and each further replacement waits twice as long."""
 
 from __future__ import annotations
@@ -127,7 +127,7 @@
             self.connect()
 
     def check_stall(self) -> None:
-        """Abandon a connection that owes an answer and delivers nothing: its peer may have vanished."""
+        """Abandon a connection that owes an answer and delivers nothing: its peer may be gone."""
         if (connection := self.connection) and connection.in_flight:
             silent_s = self.loop.time() - max(connection.last_answer_s, connection.in_flight[0].sent_s)
             if silent_s >= self.stall_s - CLOCK_TOLERANCE_S:
--- a/hookport/discovery.py
+++ b/hookport/discovery.py
@@ -174,7 +174,7 @@
     ) -> None:
         self.loop, self.address, self.names, self.on_list = loop, address, names, on_list
         self.connect_timeout_s = connect_timeout_s
-        self.auto_reconnect = auto_reconnect  # if False, the policy asks for each watch (``subscribe``)
+        self.auto_reconnect = auto_reconnect  # if False, the policy opens each watch (``subscribe``)
         # on_activity is called for each line; jitter varies the reconnect delay between limiters.
         self.on_activity, self.jitter = on_activity, jitter
         self.last_line_s = 0.0  # loop time at which the last line arrived
@@ -186,7 +186,7 @@
         self.reconnect_delay_s = RECONNECT_DELAY_S[0]
 
     def start(self, known_list: dict[str, Any], full_list: bool = False) -> None:
-        """Pass on the list from the configuration, which may be outdated, and open the watch.
+        """Pass on the configuration's list, which may be outdated, and open the watch.
 
         The watch requests the changes since that list, or the full list if ``full_list`` is set."""
         try:
--- a/hookport/limits/commands.py
+++ b/hookport/limits/commands.py
@@ -136,7 +136,7 @@
         mode = api.RequestMode.TAKE if verb == TAKE else api.RequestMode.PEEK
         self.daemon.feed(command.to_event(request_id, timeout_ns, mode))
         if request_id in self.pending:
-            # Without a timer, a request that the policy never answers would stay pending for ever.
+            # Without a timer, a request that the policy never answers would stay pending forever.
             pending.expiry_timer = self.loop.call_later(
                 timeout_ns / SECOND + EXPIRY_MARGIN_S, self.expire, request_id
             )
--- a/hookport/limits/users.py
+++ b/hookport/limits/users.py
@@ -25,7 +25,7 @@
         """Return the digest of a user's secret; raises OptionsError, which never contains the secret."""
         if bool(user.secret_file) == bool(user.secret_env):
             raise OptionsError(
-                f"limits.users: {user.name}: name secret_file or secret_env, exactly one of them"
+                f"limits.users: {user.name}: exactly one of secret_file and secret_env must be set"
             )
         try:
             if user.secret_file:
--- a/hookport/membership/curve.py
+++ b/hookport/membership/curve.py
@@ -1,8 +1,8 @@
 """Trust in a server by the age of the information about it: a table with interpolation between its rows.
 
 ``open_part`` and ``answers`` are interpolated over the logarithm of the age, because a fleet changes about as
-much in its second minute as in its second hour.  So one more second of age never costs much trust, except
-where ``claims`` ends: it is a yes or no, which has to end at a fixed age."""
+much in its second minute as in its second hour.  So one more second of age never lowers trust much, except
+where ``claims`` ends: a boolean has to change at a fixed age."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
     ``age_s``: seconds since a source last confirmed the server; ``open_part``: the share of the list, from 0
     to 1, that may be on trial at one time, that is, get requests before it has proved itself; ``answers``:
-    the number of good answers that prove a server, 0 if it needs none; ``claims``: whether a server on trial
-    may get requests that are not safe to repeat."""
+    the number of successful answers that prove a server, 0 if it needs none; ``claims``: whether a server on
+    trial may get requests that are not safe to repeat."""
 
     age_s: float
     open_part: float
@@ -40,7 +40,7 @@
 
 
 class TrustCurve:
-    """A table of points in order of age; raises ValueError that says what is wrong in it."""
+    """A table of points in order of age; an invalid one raises ValueError with the row and the reason."""
 
     def __init__(self, points: Sequence[TrustPoint] = DEFAULT_POINTS) -> None:
         if not points:
--- a/hookport/membership/fleet.py
+++ b/hookport/membership/fleet.py
@@ -6,12 +6,12 @@
 one of a higher rank, and older information never brings back a server that was reported to drain or to be
 gone.  Other limiters can reduce trust, never raise it.
 
-Each server has one level of trust (``interface.Trust``), which the decision module applies.  A server that
-the live watch has reported is TOLD.  Otherwise the age of its last confirmation decides (``curve``): if it is
-recent enough, the server counts as TOLD; if not, the server has to prove itself by good answers.  Of the
+Each server has one level of trust (``interface.Trust``), which the policy applies.  A server that the live
+watch has reported is TOLD.  Otherwise the age of its last confirmation decides (``curve``): if it is recent
+enough, the server counts as TOLD; if not, the server has to prove itself by successful answers.  Of the
 servers that need proof only a part is on trial at one time, starting at a position on the list that differs
 between limiters, so that limiters that start together do not all try the same few.  A server that fails gets
-nothing for a time that doubles with each failure in a row.
+no requests for a time that doubles with each consecutive failure.
 
 A server may have restarted unnoticed while no source reported on it.  It is therefore treated as cold since
 this limiter's own start (``presumed_start_ns``), and again since a connection to it broke while no source
@@ -34,18 +34,18 @@
 
 Address = tuple[str, int]
 
-MIN_ON_TRIAL = 2  # servers on trial at one time, however old the list: one that hangs must not block the rest
-PROOF_VALID_NS = 600 * SECOND_NS  # how long an answer proves a server that no source confirms any more
+MIN_ON_TRIAL = 2  # Servers on trial at one time, however old the list: one that hangs must not block others.
+PROOF_VALID_NS = 600 * SECOND_NS  # How long an answer proves a server that no source confirms any more.
 # Time without attempts at a server after a failure: the first, and the maximum that doubling reaches.
 BACKOFF_NS = (
     SECOND_NS,
     60 * SECOND_NS,
 )
-TOMBSTONE_TTL_NS = 3600 * SECOND_NS  # how long a deleted server is remembered
+TOMBSTONE_TTL_NS = 3600 * SECOND_NS  # How long a deleted server is remembered.
 MAX_TOMBSTONES = 4096
-STALE_LIST_HOLD_NS = 600 * SECOND_NS  # how long an entry of an older generation cannot undo a drain
-MAX_SERVERS = 10_000  # of a list that does not come from discovery
-SMALL_FLEET = 256  # servers; in a larger fleet trust is evaluated by the tick, not after each answer
+STALE_LIST_HOLD_NS = 600 * SECOND_NS  # How long an entry of an older generation cannot undo a drain.
+MAX_SERVERS = 10_000  # Maximum length of a list that does not come from discovery.
+SMALL_FLEET = 256  # In a fleet of more servers, trust is evaluated by the tick, not after each answer.
 FAILURES = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR)
 CONNECTION_FAILURES = (Outcome.CONNECT_FAILED, Outcome.RESET)
 
@@ -78,12 +78,12 @@
     source: EntrySource
     generation: int
     confirmed_ns: int  # when its source confirmed it
-    answered_ns: int = 0  # its last good answer to this limiter, also before a restart of the limiter
-    answers: int = 0  # good answers since this limiter started and since the last failure
-    failures: int = 0  # in a row
-    blocked_until_ns: int = 0  # nothing is sent before then
+    answered_ns: int = 0  # its last successful answer to this limiter, also before a restart of the limiter
+    answers: int = 0  # successful answers since this limiter started and since the last failure
+    failures: int = 0  # consecutive
+    blocked_until_ns: int = 0  # No requests are sent before this time.
     contacted: bool = False  # an attempt or a probe ended while no watch was up
-    missing_since_ns: int = 0  # since when a full list that is doubted lacks it, 0 if none does
+    missing_since_ns: int = 0  # when a doubted full list first lacked it, 0 if none does
     reported_by_peer: bool = False  # another limiter reports that it drains or is gone
     presumed_start_ns: int = 0
     trust: Trust = Trust.NONE
@@ -130,7 +130,7 @@
     ``age_s``: the age of the oldest confirmation of a ready server that the live watch has not reported, 0 if
     there is none; ``trusted``, ``tried``, ``withheld``: ready servers that are fully trusted, on trial, and
     without requests; ``draining``: all others; ``asked``: servers contacted while discovery was unavailable;
-    ``wrong``: those of them that failed without a good answer since."""
+    ``wrong``: those of them that failed without a successful answer since."""
 
     source: ListSource
     age_s: float
@@ -152,7 +152,7 @@
 
 @dataclass(slots=True)
 class Update:
-    """The result of an event: a list for the decision module with the servers' addresses, if anything
+    """The result of an event: a list for the policy with the servers' addresses, if anything
     changed for it, and lines for the log."""
 
     server_list: ServerList | None = None
@@ -161,7 +161,7 @@
 
 
 class FleetView:
-    """The servers as one limiter knows them.
+    """One limiter's view of the servers.
 
     ``index`` is this limiter's number among ``limiters``.  A server that no source confirmed for
     ``forget_ns`` is not taken from a snapshot.  ``loss_part``: if the watch has just come back and a full
@@ -189,8 +189,8 @@
         self.watch_resumed_ns = 0  # when the watch last came up
         self.unannounced: set[bytes] = set()  # drained or gone, and not yet reported to the other limiters
         self.source = ListSource.NONE
-        self.published: dict[bytes, ServerEntry] = {}  # as the decision module has them
-        self.trial_order: list[bytes] = []  # all servers, from this limiter's own position on the list
+        self.published: dict[bytes, ServerEntry] = {}  # as last passed to the policy
+        self.trial_order: list[bytes] = []  # all servers, starting at this limiter's position on the list
 
     # Sources
 
@@ -202,7 +202,7 @@
         addresses: Mapping[bytes, Address],
         generation: int = 0,
     ) -> Update:
-        """Begin with the snapshot and with the configuration's list, which has no time of its own.
+        """Start with the snapshot and with the configuration's list, which has no timestamp.
 
         Where they differ, the one of the later generation wins.  If that is the configuration, its list is at
         least as recent as the snapshot; if not, its age is unknown and counts as the greatest.  A server that
@@ -285,7 +285,7 @@
         older = generation < self.generation
         if older:
             log_lines.append(f"discovery returned with generation {generation}, older than "
-                             f"{self.generation}: servers that drained since then stay out")  # fmt: skip
+                             f"{self.generation}: servers that drained since then stay excluded")  # fmt: skip
         if not self.has_full_list and not full:
             log_lines.append("discovery sent changes before any full list: other servers remain unconfirmed")
         ready = {
@@ -299,7 +299,7 @@
             self.apply_entry(now_ns, generation, entry, addresses[entry.server])
         if rejected:
             log_lines.append(
-                f"{len(rejected)} servers stay out: the list is older than the report "
+                f"{len(rejected)} servers stay excluded: the list is older than the report "
                 "that they drain or are gone"
             )
         if full:
@@ -385,16 +385,16 @@
         self.live, self.watch_resumed_ns = True, now_ns
         return self.publish(now_ns, [])
 
-    def watch_lost(self, now_ns: int, last_heard_ns: int) -> Update:
-        """The watch has ended; ``last_heard_ns`` is when it last sent something."""
+    def watch_lost(self, now_ns: int, last_data_ns: int) -> Update:
+        """The watch has ended; ``last_data_ns`` is when it last sent something."""
         if self.live:
-            self.watch_confirmed_ns = min(now_ns, max(last_heard_ns, 0))
+            self.watch_confirmed_ns = min(now_ns, max(last_data_ns, 0))
         self.live = False
         return self.publish(now_ns, [])
 
     def change_discovery(self, fleet_name: str) -> None:
-        """Switch to another discovery, whose generations cannot be compared with those of the old one; what
-        is known stays until it has sent a list."""
+        """Switch to another discovery, whose generations cannot be compared with those of the old one; the
+        servers stay until it has sent a list."""
         self.fleet_name, self.live, self.has_full_list, self.generation = fleet_name, False, False, 0
         # No generation of the new discovery may bring back a server that drained under the old one: only time
         # may.
@@ -439,7 +439,7 @@
             return None
         record.contacted = True
         if record.trust < Trust.TOLD or outcome in CONNECTION_FAILURES:
-            # Errors and timeouts of a server that has proved itself are left to the decision module.
+            # Errors and timeouts of a server that has proved itself are left to the policy.
             record.answers = 0
             record.failures += 1
             record.blocked_until_ns = now_ns + min(
@@ -455,7 +455,7 @@
         return self.publish(now_ns, []) if len(self.servers) <= SMALL_FLEET else None
 
     def tick(self, now_ns: int) -> Update | None:
-        """Apply the passing of time: ages, ends of back-off, and doubted lists whose time is over."""
+        """Update what depends on time: ages, ends of back-off, and doubted lists whose time is over."""
         doubted = [
             s
             for s, r in self.servers.items()
@@ -519,7 +519,7 @@
             }[rank]
 
     def published_entry(self, record: ServerRecord) -> ServerEntry:
-        """The entry as the decision module gets it."""
+        """The entry as the policy gets it."""
         health = Health.DRAINING if record.reported_by_peer else record.entry.health
         presumed_start_ns = (
             0 if self.live and record.source is EntrySource.DISCOVERY else record.presumed_start_ns
@@ -527,7 +527,7 @@
         return replace(record.entry, health=health, trust=record.trust, presumed_start_ns=presumed_start_ns)
 
     def publish(self, now_ns: int, log_lines: list[str]) -> Update:
-        """Evaluate trust, and return the entries that differ from what the decision module has."""
+        """Evaluate trust, and return the entries that differ from what the policy has."""
         before = self.source
         self.evaluate_trust(now_ns)
         entries = list[ServerEntry]()
--- a/hookport/membership/members.py
+++ b/hookport/membership/members.py
@@ -1,7 +1,7 @@
-"""Connects the fleet view to the daemon: discovery's lists pass through it to the decision module, and the
+"""Connects the fleet view to the daemon: discovery's lists pass through it to the policy, and the
 list is saved on disk.
 
-If the option ``membership`` is off, the daemon hands discovery's lists to the decision module directly.  If
+If the option ``membership`` is off, the daemon hands discovery's lists to the policy directly.  If
 it is on, ``MembershipManager`` stands between the two.  ``FleetView`` makes all decisions, and no request
 waits for the disk: a thread writes it, one write at a time."""
 
@@ -24,20 +24,20 @@
 
 log = logging.getLogger("hookport.membership")
 
-TICK_S = 0.25  # between two ticks while the passing of time can change trust; else four times as long
-PROBE_INTERVAL_S = 1.0  # between two probes of one server
+TICK_S = 0.25  # time between two ticks while trust can change with time; else four times as long
+PROBE_INTERVAL_S = 1.0  # minimum time between two probes of one server
 MAX_PROBES = 4  # in flight at one time
 REPORT_INTERVAL_S = 1.0  # minimum time between two reports to the other limiters
 QUERY_INTERVAL_S = 5.0  # mean time between two queries to the other limiters while discovery is unavailable
-MAX_SAVE_BACKOFF = 12  # times write_s: the longest delay before a failed save is repeated
+MAX_SAVE_BACKOFF = 12  # longest delay before a failed save is repeated, as a multiple of write_s
 
 
 class Daemon(Protocol):
-    """What the manager needs of the daemon: ``apply_server_list`` hands a list to the decision module."""
+    """What the manager needs of the daemon: ``apply_server_list`` hands a list to the policy."""
 
     def apply_server_list(self, server_list: ServerList, addresses: dict[bytes, Address]) -> None: ...
     def send_to_peers(self, peer: int | None, payload: bytes) -> None: ...
-    def probe(self, server: bytes, ended: Callable[[bool], None]) -> None: ...
+    def probe(self, server: bytes, on_result: Callable[[bool], None]) -> None: ...
 
 
 class DiscoveryState(Protocol):
@@ -51,7 +51,7 @@
 class MembershipManager:
     """The membership of one limiter.
 
-    ``now_ns`` is the decision module's clock, in Unix nanoseconds; this limiter is number ``index`` of
+    ``now_ns`` is the policy's clock, in Unix nanoseconds; this limiter is number ``index`` of
     ``limiters``; ``fleet`` names the fleet unless the options do."""
 
     def __init__(
@@ -95,7 +95,7 @@
     # From discovery
 
     def receive_list(self, server_list: ServerList, addresses: dict[bytes, Address]) -> None:
-        """Take a list of discovery, in place of the daemon's own ``apply_server_list``."""
+        """Handle a list of discovery, which would otherwise go to the daemon's ``apply_server_list``."""
         now_ns = self.now_ns()
         generation = self.discovery.generation if self.discovery else 0
         if server_list.kind is ListKind.CACHED:
@@ -178,7 +178,7 @@
                 self.apply(update)
 
     def report_drained(self) -> None:
-        """Tell the other limiters which servers have begun to drain or gone since the last report."""
+        """Report to the other limiters the servers that have begun to drain or gone since the last report."""
         if self.fleet.unannounced and self.loop.time() - self.last_report_s >= REPORT_INTERVAL_S:
             self.last_report_s = self.loop.time()
             report = messages.encode_report(sorted(self.fleet.unannounced))
@@ -209,7 +209,7 @@
         self.timer = self.loop.call_later(TICK_S if self.fleet.needs_tick else 4 * TICK_S, self.tick)
 
     def apply(self, update: Update) -> None:
-        """Write the log lines of an update, and hand its list to the decision module."""
+        """Write the log lines of an update, and hand its list to the policy."""
         for line in update.log_lines:
             log.info("%s", line)
         if update.server_list:
--- a/hookport/membership/snapshot_codec.py
+++ b/hookport/membership/snapshot_codec.py
@@ -4,7 +4,7 @@
     {"fleet": ..., "generation": ..., "saved_ns": ..., "servers": [...], "gone": {...}}
 
 ``CRC`` is the CRC-32 (zlib's) of the JSON in 8 hex digits and ``LENGTH`` the size of the JSON in bytes.  A
-snapshot is used whole or not at all, because an entry that is missing could be one of a server that drains.
+snapshot is used whole or not at all, because a missing entry could be that of a draining server.
 Zones and machine types are stored by name, since a new configuration may change their positions."""
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 FORMAT_VERSION = 1
 MAX_FILE_BYTES = 16 << 20  # larger files are rejected
 HEADER = re.compile(rb"hookport-kept (\d{1,9}) ([0-9a-f]{8}) (\d{1,9})\n")
-MAX_INTEGER = 1 << 62  # of generations and times in nanoseconds
+MAX_INTEGER = 1 << 62  # maximum of generations and of times in nanoseconds
 LIFECYCLE_BY_HEALTH = {health: name for name, health in HEALTH_BY_LIFECYCLE.items()}
 
 
--- a/hookport/membership/snapshot_file.py
+++ b/hookport/membership/snapshot_file.py
@@ -31,7 +31,7 @@
     """The file system of the machine; each method raises OSError."""
 
     def read(self, path: str) -> bytes:
-        """The contents, at most one byte more than a snapshot may have."""
+        """The contents, up to one byte more than the maximum size of a snapshot."""
         with open(path, "rb") as file:
             return file.read(snapshot_codec.MAX_FILE_BYTES + 1)
 
@@ -52,7 +52,7 @@
         os.replace(path, to)
 
     def sync_directory(self, path: str) -> None:
-        """Sync the directory that contains ``path``, so that renames in it last."""
+        """Sync the directory that contains ``path``, so that renames in it survive a power loss."""
         descriptor = os.open(os.path.dirname(path) or ".", os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
--- a/hookport/node.py
+++ b/hookport/node.py
@@ -1,4 +1,4 @@
-"""The daemon's core: passes events to ``Limiter.handle``, performs its actions, tracks the open requests."""
+"""The daemon's core: passes events to the policy, performs its actions, and tracks the open requests."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 NS_PER_SECOND = 1_000_000_000
 # A request ends this long before its client stops waiting: enough for the reply to be written and to arrive.
 REPLY_MARGIN_MS = 25
-# Share of the descriptors for client connections: clients use a third of them, and as many more connections
-# may be opened without a request.
+# Share of the descriptors for client connections. Clients with requests use a third of all descriptors, and
+# as many connections may be open without a request.
 CLIENT_CONNECTION_SHARE = 0.62
 RESERVED_SOCKETS = 32  # for the loop, discovery, the counter and sockets that are being closed
 # SIGKILL may follow SIGTERM after this time, or after the longest deadline if that is shorter, plus 0.7 s.
 KILL_AFTER_NS = 3 * NS_PER_SECOND
 KILL_GRACE_S = 0.4  # the part of those 0.7 s that is used; the rest is for the replies to arrive
-MAX_BODY_SHARE = 0.25  # of the memory limit, for the arguments of open requests
+MAX_BODY_SHARE = 0.25  # share of the memory limit that the arguments of open requests may use
 
 
 class OpenRequest:
@@ -141,7 +141,7 @@
         self.action_handlers: dict[type, Callable[[Any], None]] = {
             api.Send: self.send,
             api.Refuse: self.refuse,
-            api.QuotaAnswer: self.verdict,
+            api.QuotaAnswer: self.answer_quota,
             api.Fail: self.fail,
             api.Cancel: self.cancel,
             api.SetTimer: self.set_timer,
@@ -224,7 +224,7 @@
             self.clients.shut_down()
 
     def answer_all(self) -> None:
-        """Answer all open requests, including those whose deadline lies behind the possible SIGKILL."""
+        """Answer all open requests, including those whose deadline is after the possible SIGKILL."""
         for request_id in list(self.open_requests):
             if request_id in self.open_requests:
                 self.request_expired(request_id)
@@ -370,7 +370,7 @@
             return
         self.answer(action.request_id, resp.busy(action.retry_after_ns))
 
-    def verdict(self, action: api.QuotaAnswer) -> None:
+    def answer_quota(self, action: api.QuotaAnswer) -> None:
         if self.limit_commands:
             self.limit_commands.on_quota_answer(action)
 
--- a/hookport/resp.py
+++ b/hookport/resp.py
@@ -17,9 +17,9 @@
 MAX_VALUE_BYTES = 64 * 1024
 # Servers may return larger values than clients may send: some have 400 KB.
 MAX_SERVER_VALUE_BYTES = 1 << 20
-MAX_LINE_BYTES = 512  # also applies to the digits of a length
+MAX_LINE_BYTES = 512  # also limits the header of a bulk string or an array
 MAX_WAIT_DEADLINES = 2  # a client waits at most this many times the deadline of its traffic class
-CUSTOMER_LIMIT = 1 << 33  # customer numbers are below this
+CUSTOMER_LIMIT = 1 << 33  # exclusive upper limit of customer numbers
 FIELDS_CACHE_SIZE = 1024
 REQUEST_ID = re.compile(rb"[0-9A-Za-z_-]{1,64}").fullmatch
 CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
@@ -158,7 +158,7 @@
     """A client's request: its arguments as received and their parsed values."""
 
     arguments: Sequence[bytes]
-    text_before_wait: bytes  # the parts of the list before and after ``d=...``
+    text_before_wait: bytes  # the parts of the field list before and after ``d=...``
     text_after_wait: bytes
     customer: int
     wait_ms: int
@@ -187,8 +187,8 @@
     def forward(self, wait_ms: int) -> bytes:
         """Encode the command for a server, with ``d`` replaced by how long the limiter waits."""
         verb, customer, request_id, _, *body = self.arguments
-        listed = b"%sd=%d%s" % (self.text_before_wait, wait_ms, self.text_after_wait)
-        return encode_command((verb, customer, request_id, listed, *body))
+        field_list = b"%sd=%d%s" % (self.text_before_wait, wait_ms, self.text_after_wait)
+        return encode_command((verb, customer, request_id, field_list, *body))
 
 
 def encode_command(arguments: tuple[bytes, ...]) -> bytes:
@@ -212,7 +212,7 @@
 def parse_units(text: bytes, max_units: float) -> float:
     """Parse ``units``.
 
-    The upper bound matters: a huge amount would put the customer's next ticket out of reach."""
+    Without the upper bound, a huge amount would move the customer's next ticket into the distant future."""
     units = float(text) if UNITS(text) else 0.0
     if not 0 < units <= max_units:
         raise CommandError("units is not a number above 0, or more than a request takes")
@@ -251,16 +251,16 @@
 
     def parse_arguments(self, texts: Sequence[bytes], submit: bool | None) -> Command:
         """Parse the arguments; ``submit`` is None for a limit command."""
-        _, customer, request_id, listed = texts[:4]
+        _, customer, request_id, field_list = texts[:4]
         number = int(customer, 16) if CUSTOMER(customer) else CUSTOMER_LIMIT
         if number >= CUSTOMER_LIMIT:
             raise CommandError("the customer is not 16 hex digits below 2^33")
         if not REQUEST_ID(request_id):
             raise CommandError("the id is not 1 to 64 letters, digits, - or _")
-        if len(listed) > 1024 or len(texts[-1]) > MAX_VALUE_BYTES:
+        if len(field_list) > 1024 or len(texts[-1]) > MAX_VALUE_BYTES:
             raise CommandError("an argument is too long")
-        if not (split := WAIT(listed)) and submit is None:
-            return Command(texts, listed, b"", number, 0, self.cached_fields(submit, listed))
+        if not (split := WAIT(field_list)) and submit is None:
+            return Command(texts, field_list, b"", number, 0, self.cached_fields(submit, field_list))
         if not split:
             raise CommandError("d is not a number of milliseconds")
         wait_ms, before, after = int(split[2]), split[1], split[3]
@@ -269,9 +269,9 @@
             raise CommandError("d is not a time for which a client of that class waits")
         return Command(texts, before, after, number, wait_ms, fields)
 
-    def parse_fields(self, submit: bool | None, listed: bytes) -> Fields:
+    def parse_fields(self, submit: bool | None, field_list: bytes) -> Fields:
         fields: dict[bytes, bytes] = {}
-        for item in listed.split(b","):
+        for item in field_list.split(b","):
             name, equals, value = item.partition(b"=")
             if not equals or name in fields or name == b"d":
                 raise CommandError("the list is not names and values")
--- a/hookport/servers.py
+++ b/hookport/servers.py
@@ -219,7 +219,7 @@
                 and not connection.transport.is_closing()
             )
             if usable and not self.has_unread_data(connection.transport):
-                return connection  # no bytes are left that would be taken for the next answer
+                return connection  # no unread bytes could be mistaken for the next answer
             connection.transport.abort()
         return None
 
@@ -300,8 +300,8 @@
         else:
             return
         if outcome is Outcome.TIMEOUT:
-            # A machine that vanished without closing its connections would swallow one request on each idle
-            # one; a new connection fails in time, and shows that nothing was executed.
+            # A machine that went down without closing its connections would lose one request on each idle
+            # connection; a new connection fails in time, which shows that nothing was executed.
             self.close_idle(attempt.server)
             outcome = Outcome.CONNECT_FAILED if never_executed else outcome
         self.end_attempt(attempt, outcome, b"")
--- a/tests/counter_model.py
+++ b/tests/counter_model.py
@@ -154,8 +154,8 @@
     def start_measuring(self) -> None:
         """Measure from now on: an overrun of the limiters' start is not caused by the fault."""
         accounts = [(bench.limiter.accounts.get(1), bench.now_ns) for bench in self.benches]
-        known = [self.plan[1] if account is None else account.refill(now) for account, now in accounts]
-        self.balance, self.balance_ns, self.min_balance = max(self.balance, min(known)), self.now_ns, 0.0
+        balances = [self.plan[1] if account is None else account.refill(now) for account, now in accounts]
+        self.balance, self.balance_ns, self.min_balance = max(self.balance, min(balances)), self.now_ns, 0.0
 
     def send_request(self) -> None:
         if self.now_ns > self.next_shift_ns:
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -164,7 +164,7 @@
         b"c=lookup,t=team,d=6001,units=1,spread=1,first=0",
     ],
 )
-def test_values_beyond_the_settings_never_reach_the_decision_module(fields: bytes) -> None:
+def test_values_beyond_the_settings_never_reach_the_policy(fields: bytes) -> None:
     """They would put the customer's next ticket out of reach or give its share the wrong size."""
 
     async def scenario() -> None:
@@ -208,7 +208,7 @@
             node = (await world.start()).node
             assert node
             node.clients.unread_replies.timeout_s = 0.05
-            node.clients.on_request = lambda words, answer: answer.complete(resp.bulk(b"x" * 60000))
+            node.clients.on_request = lambda arguments, answer: answer.complete(resp.bulk(b"x" * 60000))
             client = await world.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             for n in range(1000):
@@ -228,10 +228,10 @@
             assert node
             on_request = node.clients.on_request
 
-            def count(words: object, answer: clients.PendingReply) -> None:
+            def count(arguments: object, answer: clients.PendingReply) -> None:
                 nonlocal most_pending
                 most_pending = max(most_pending, len(answer.connection.pending_replies))
-                on_request(words, answer)  # type: ignore[arg-type]
+                on_request(arguments, answer)  # type: ignore[arg-type]
 
             node.clients.on_request = count
             for n in range(300):
--- a/tests/test_bad_servers.py
+++ b/tests/test_bad_servers.py
@@ -57,11 +57,11 @@
     run(scenario)
 
 
-async def answer_twice(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
+async def answer_twice(stub: Stub, args: list[bytes], writer: asyncio.StreamWriter) -> None:
     """Send a valid answer and, one millisecond later, a copy of it."""
-    writer.write(VALUE.replace(b"value", words[2][-5:]))
+    writer.write(VALUE.replace(b"value", args[2][-5:]))
     await asyncio.sleep(0.001)
-    writer.write(VALUE.replace(b"value", words[2][-5:]))
+    writer.write(VALUE.replace(b"value", args[2][-5:]))
 
 
 def test_bytes_behind_an_answer_are_not_taken_for_the_next_answer() -> None:
@@ -131,7 +131,7 @@
 
 
 def test_connection_is_not_kept_if_its_server_was_removed_during_the_request() -> None:
-    async def late(stub: Stub, words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    async def late(stub: Stub, args: list[bytes], writer: asyncio.StreamWriter) -> None:
         await stub.release.wait()
         writer.write(VALUE)
 
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -58,7 +58,7 @@
 
 
 class Harness:
-    """A fleet view, and the servers that the decision module has after its updates."""
+    """A fleet view, and the servers that the policy has after its updates."""
 
     def __init__(self, loss_part: float = 0.0, index: int = 0, limiters: int = 1) -> None:
         self.fleet = FleetView("f", index, limiters, TrustCurve(), 14 * DAY * SECOND_NS, loss_part)
@@ -88,7 +88,7 @@
         self.apply(self.fleet.tick(self.now))
 
     def trust(self, n: int) -> Trust:
-        """The trust that the decision module applies to a server."""
+        """The trust that the policy applies to a server."""
         server = self.servers.get(b"s-%d" % n)
         return Trust.NONE if server is None or server.entry.health is not Health.READY else server.entry.trust
 
@@ -416,7 +416,7 @@
             assert len(on_trial) <= max(MIN_ON_TRIAL, len(fleet.servers))
 
     @invariant()
-    def the_decision_module_has_the_published_entries(self) -> None:
+    def the_policy_has_the_published_entries(self) -> None:
         if hasattr(self, "harness"):
             assert {s: x.entry for s, x in self.harness.servers.items()} == self.harness.fleet.published
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -270,7 +270,7 @@
 
 @pytest.mark.parametrize(
     ("user", "reason"),
-    [(LimitUser(name="a"), "name secret_file or secret_env"),
+    [(LimitUser(name="a"), "exactly one of secret_file and secret_env"),
      (LimitUser(name="a", secret_env="NONE"), "0 bytes"),
      (LimitUser(name="a", secret_file="/none/x"), "No such file")],
 )  # fmt: skip
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -50,8 +50,8 @@
         ]
         for n, one in enumerate(both):
             await one.start(addresses[n])
-        stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        stranger.sendto(b"here", addresses[1])
+        unlisted = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        unlisted.sendto(b"here", addresses[1])
         both[0].send(None, b"here")
         both[0].send(1, b"you")
         await until(lambda: len(received[1]) == 2)
@@ -61,7 +61,7 @@
         both[1].current_second, both[1].received_count = int(loop.time()), peers.MAX_RECEIVED_PER_SECOND
         both[1].datagram_received(b"flood", addresses[0])
         assert len(received[1]) == 2 or both[1].current_second != int(loop.time())
-        stranger.close()
+        unlisted.close()
         for one in both:
             one.close()
         both[0].send(1, b"after the end")
@@ -92,7 +92,9 @@
 
 def test_peer_addresses_that_do_not_match_the_settings_are_reported(caplog: pytest.LogCaptureFixture) -> None:
     twice = parse_config(configuration([5, 5], 0, peers=["127.0.0.1:5", "127.0.0.1:5"]), {})
-    assert caplog.messages == ["peers[1] is the address of peers[0]: the first is used"]
+    assert caplog.messages == [
+        "peers[1] has the same address as peers[0]: its datagrams count as the latter's"
+    ]
     loop = asyncio.new_event_loop()
     assert peers.Peers(loop, twice.peers, None, 1, lambda *_: None).index_by_address == {("127.0.0.1", 5): 0}
     loop.close()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -32,11 +32,11 @@
 
 
 def commands_sent(world: World) -> list[list[bytes]]:
-    return [words for stub in world.stubs for words in stub.commands]
+    return [arguments for stub in world.stubs for arguments in stub.commands]
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         (b"SVC.QUERY",),
         query()[:3],
@@ -69,11 +69,11 @@
         (b"HELLO", b"3"),
     ],
 )
-def test_malformed_command_gets_an_error_and_reaches_no_server(words: tuple[bytes, ...]) -> None:
+def test_malformed_command_gets_an_error_and_reaches_no_server(arguments: tuple[bytes, ...]) -> None:
     async def scenario() -> None:
         async with World(serve) as world:
             client = await (await world.start()).client()
-            assert str(await client.ask(*words)).startswith("ERR ")
+            assert str(await client.ask(*arguments)).startswith("ERR ")
             assert not commands_sent(world)
             assert await (await world.client()).ask(*query(2)) == b"value"
 
@@ -116,11 +116,11 @@
             client = await (await world.start()).client()
             command = submit(body=b"x" * 65536)
             assert await client.ask(*command[:3], command[3] + b",k=55,r=1", command[4]) == b"value"
-            (words,) = commands_sent(world)
-            assert words[:3] == list(command[:3]) and words[4] == command[4]
+            (arguments,) = commands_sent(world)
+            assert arguments[:3] == list(command[:3]) and arguments[4] == command[4]
             before, after = command[3].split(b"3000")
-            assert words[3].startswith(before) and words[3].endswith(after + b",k=55,r=1")
-            assert 0 < int(words[3][len(before) :].split(b",")[0]) < 3000
+            assert arguments[3].startswith(before) and arguments[3].endswith(after + b",k=55,r=1")
+            assert 0 < int(arguments[3][len(before) :].split(b",")[0]) < 3000
 
     run(scenario)
 
@@ -198,8 +198,8 @@
 def test_invalid_known_list_leaves_the_servers_to_discovery() -> None:
     async def scenario() -> None:
         async with World(serve) as world:
-            told = world.configuration()
-            world.configuration = lambda: {**told, "known": {"instances": 5}}  # type: ignore[method-assign]
+            configuration = world.configuration()
+            world.configuration = lambda: {**configuration, "known": {"instances": 5}}  # type: ignore[method-assign]
             client = await (await world.start()).client()
             await until(lambda: world.discovery.watches)
             world.discovery.push(list_update(2, instance("s-0", world.stubs[0].port), full=True))
@@ -375,7 +375,7 @@
     run(scenario)
 
 
-def test_exception_in_the_decision_module_is_logged_and_fails_the_request(
+def test_exception_in_the_policy_is_logged_and_fails_the_request(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def scenario() -> None:
