--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -163,15 +163,15 @@
 
 def test_calls_resume_at_once_when_the_counter_recovers() -> None:
     # During a silence each of 200 limiters slows down to one call in up to 19 s.
-    pace, now_ns = CallPacer(LIMITERS, 30 * MS), START
+    pacer, now_ns = CallPacer(LIMITERS, 30 * MS), START
     for _ in range(20):
-        pace.tokens.resync(now_ns)
-        pace.on_call()
-        pace.on_result(False)
+        pacer.tokens.resync(now_ns)
+        pacer.on_call()
+        pacer.on_result(False)
         now_ns += 100 * MS
-    assert pace.tokens.next_free_ticket_ns > now_ns + 10 * SECOND
-    pace.on_recovered(now_ns)
-    assert pace.is_free(now_ns + SECOND, 0.0)
+    assert pacer.tokens.next_free_ticket_ns > now_ns + 10 * SECOND
+    pacer.on_recovered(now_ns)
+    assert pacer.is_free(now_ns + SECOND, 0.0)
 
 
 def test_a_set_larger_than_a_group_keeps_its_whole_quota_in_a_split() -> None:
