--- a/tests/counter_model.py
+++ b/tests/counter_model.py
@@ -1,6 +1,6 @@
-"""Limiters and a counter that fails in every way it can, in simulated time, beside one exact token bucket.
+"""Limiters and a counter with all kinds of faults, in simulated time, compared with one exact token bucket.
 
-The measure is the overrun: in no stretch of time may a customer's units exceed ``burst + rate * time`` by
+The simulation measures the overrun: over no period may a customer's units exceed ``burst + rate * time`` by
 more than a bound.  The exact bucket may go into debt without limit; its lowest balance is the overrun.
 """
 
@@ -142,7 +142,7 @@
                 self.process_due()
 
     def flap(self, limiter: int, flap_s: float, seconds: float) -> None:
-        """Split the counter in two halves and move one limiter to and fro between them; then heal it."""
+        """Split the counter in two halves and move one limiter back and forth between them; then heal it."""
         second_half = set(range(-(-self.limiters // 2), self.limiters))
         self.counter.split()
         self.counter.side_of = lambda index: int(index in second_half)
@@ -222,4 +222,4 @@
 
 
 def discard(_: object) -> None:
-    """For calls whose actions the bench has recorded already."""
+    """Ignore the actions of an event, which the bench has recorded already."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,7 +10,7 @@
 
 SECOND = 1_000_000_000
 MS = 1_000_000
-MAX_GROUPS = 64  # more groups of limiters than any test has
+MAX_GROUPS = 64  # Upper bound on the groups of limiters in a test, to recognize heartbeat keys.
 TINY = """
 title = "a short one"
 length_s = 3.0
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -46,7 +46,7 @@
             self.answer_calls(bench)
 
     def request(self, at: int, units: float = 1.0) -> bool:
-        """Make one request, answered at once if it is sent to a server; whether it was sent."""
+        """Make one request, answered at once if it is sent to a server; return whether it was sent."""
         bench = self.benches[at]
         request_id = bench.request(units=units, set_size=self.size)
         self.answer_calls(bench)
@@ -198,7 +198,7 @@
 
 
 def test_an_answer_of_an_older_window_grants_nothing_and_changes_nothing_in_this_one() -> None:
-    """Its total says nothing about the current window, and its units are not in the current total."""
+    """Its total belongs to an older window, and its units are not in the current total."""
     account = Account.create(START, 1, 2.0, (10.0, 20.0), (0.0, 0.0))
     call = account.start_call(START, 5, 4.0)
     assert not account.on_answer(START + account.window_ns, call, 4.0)
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -117,7 +117,7 @@
     run(scenario)
 
 
-def test_request_id_in_use_or_used_lately_is_rejected() -> None:
+def test_request_id_in_use_or_used_recently_is_rejected() -> None:
     """With two requests under one id, a server could not tell a new request from a retry."""
 
     async def scenario() -> None:
--- a/tests/test_counter_lost.py
+++ b/tests/test_counter_lost.py
@@ -38,7 +38,7 @@
     if kind == "flap":
         simulation.flap(1, simulation.rng.choice((1.0, 3.0, 7.0)), 25.0)
         return CounterState.SPLIT
-    if kind == "fresh":
+    if kind == "replaced":
         counter.replace()
         if simulation.rng.random() < 0.5:  # twice within one window
             simulation.run(simulation.rng.uniform(0.1, 2))
@@ -56,7 +56,7 @@
         simulation.run(4.0)
     else:
         counter.fault_rates = {
-            "silent": {"dropped": 1.0}, "deaf": {"unanswered": 1.0}, "late": {"late": 1.0},
+            "silent": {"dropped": 1.0}, "unanswered": {"unanswered": 1.0}, "late": {"late": 1.0},
             "busy": {"busy": 1.0}, "mixed": {"unanswered": 0.2, "late": 0.2, "dropped": 0.2, "busy": 0.1},
         }[kind]  # fmt: skip
         simulation.run(simulation.rng.uniform(3, 15))
@@ -64,7 +64,7 @@
     return CounterState.SILENT
 
 
-KINDS = ("split", "flap", "fresh", "snapshot", "silent", "deaf", "late", "busy", "mixed", "restart")
+KINDS = ("split", "flap", "replaced", "snapshot", "silent", "unanswered", "late", "busy", "mixed", "restart")
 
 
 @pytest.mark.parametrize("kind", KINDS)
@@ -85,7 +85,7 @@
         assert simulation.sent > 0.5 * simulation.limiters
 
 
-@pytest.mark.parametrize("kind", ["silent", "fresh", "split", "mixed"])
+@pytest.mark.parametrize("kind", ["silent", "replaced", "split", "mixed"])
 def test_clocks_that_differ_by_200_ms_stay_within_the_bound(kind: str) -> None:
     """Limiters derive keys from their own clocks, so at a window's end two totals are in use at once."""
     for seed, plan in enumerate((PREMIUM, STANDARD, BASIC)):
--- a/tests/test_exhausted_quotas.py
+++ b/tests/test_exhausted_quotas.py
@@ -27,7 +27,7 @@
 
 
 def request_answered(bench: Bench, total: float | None = None, **request: object) -> int:
-    """Make one request and answer its counter calls with ``total``, or as if nobody else had spent."""
+    """Make one request and answer its counter calls with ``total``, or as if no other limiter had spent."""
     request_id = bench.request(**{"set_size": 150.0, "plan": PREMIUM, **request})  # type: ignore[arg-type]
     while bench.pending_calls:
         bench.answer_call(bench.pending_calls[0].amount if total is None else total)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,18 +17,18 @@
 
 
 class Counter:
-    """Test double of the shared counter: numbers by key, answered in the order of the calls."""
+    """Test double of the shared counter: totals by key; calls are answered in their order."""
 
     def __init__(self) -> None:
-        self.numbers: dict[int, float] = {}
+        self.totals: dict[int, float] = {}
         self.calls = 0
 
     def answer(self, bench: Bench) -> None:
         while bench.pending_calls:
             call = bench.pending_calls[0]
             self.calls += 1
-            self.numbers[call.key] = self.numbers.get(call.key, 0.0) + call.amount
-            bench.answer_call(self.numbers[call.key])
+            self.totals[call.key] = self.totals.get(call.key, 0.0) + call.amount
+            bench.answer_call(self.totals[call.key])
 
 
 def sent_attempts(benches: list[Bench]) -> float:
@@ -67,7 +67,7 @@
 
 
 def test_first_attempts_of_all_limiters_at_a_cold_server_are_bounded_in_sum() -> None:
-    # The first attempt of one limiter does no harm, but the sum of all of them would crash a cold server.
+    # One first attempt is harmless, but those of all limiters together would crash a cold server.
     benches = make_limiters(replace(FLEET, has_counter=False), servers=60)
     cold = entry(61, started_ns=START)
     for bench in benches:
@@ -202,7 +202,7 @@
     assert sum(map(bench.was_sent, requests)) == 1, "the server may have restarted again"
     bench.handle(changed_servers(entry(1)))
     assert sum(bench.was_sent(bench.request(customer=n)) for n in range(6)) > 1, (
-        "a list says that it has not restarted"
+        "a list reports that it has not restarted"
     )
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -113,7 +113,7 @@
             await until(lambda: fleet.source is ListSource.LOST_DISCOVERY)
             await until(lambda: len(world.discovery.watches) > 1)
             world.discovery.push(b"")
-            # An empty line from discovery says that nothing has changed.
+            # An empty line from discovery means that nothing has changed.
             await until(lambda: fleet.source is ListSource.LIVE_DISCOVERY)
 
     asyncio.run(scenario())
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -150,11 +150,11 @@
     calls = len(bench.counter_calls)
     while len(bench.counter_calls) == calls:
         bench.request()
-    bench.answer_call(bench.counter_calls[-1].amount)  # without anything added before
+    bench.answer_call(bench.counter_calls[-1].amount)  # a total with nothing added before
     assert bench.limiter.accounts[1].balance < balance
 
 
-def test_a_customer_seldom_seen_here_does_not_seem_exhausted() -> None:
+def test_a_customer_with_few_requests_at_this_limiter_does_not_seem_exhausted() -> None:
     """Others spent less than the rate for seconds, so the balance is full however large the total is."""
     bench = Bench()
     for _ in range(3):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -94,16 +94,16 @@
 
 def test_a_failing_server_is_ejected_but_never_most_servers() -> None:
     bench = Bench(UNLIMITED_QUOTA, servers=4)
-    bad = entry(1).server
+    failing_server = entry(1).server
     for _ in range(60):
         request_id = bench.request(class_index=UNSAFE_CLASS)
-        failing = bench.sent[(request_id, 0)].server == bad
+        failing = bench.sent[(request_id, 0)].server == failing_server
         bench.end_attempt(
             request_id,
             api.Outcome.ERROR if failing else api.Outcome.OK,
             elapsed_ns=MS if failing else 20 * MS,
         )
-    assert sum(s.server == bad for s in bench.sent.values()) <= 4
+    assert sum(s.server == failing_server for s in bench.sent.values()) <= 4
     for _ in range(40):
         request_id = bench.request(class_index=UNSAFE_CLASS)
         if bench.was_sent(request_id):
--- a/tests/test_sequence_digits.py
+++ b/tests/test_sequence_digits.py
@@ -41,7 +41,8 @@
 def test_digits_tell_limiters_that_knew_the_customer_from_new_ones(burst: float, size: int) -> None:
     """Taken for one that knew the customer, a new limiter would make the others leave out their debt.
 
-    The first limiter is new.  A limiter's own digit says nothing: each reads the others', for three advances.
+    The first limiter is new.  A limiter's own digit is no evidence, so each reads those of the others, for
+    three advances.
     """
     layouts = [m for position in range(size) if (m := SequenceDigits.for_burst(burst, position, size))]
     assert {m.base for m in layouts} == {4}
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -327,7 +327,7 @@
 
 
 def test_pending_requests_are_answered_between_sigterm_and_kill(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A request whose deadline lies behind the kill would otherwise get no answer."""
+    """A request whose deadline is after the kill would otherwise get no answer."""
 
     async def scenario() -> None:
         monkeypatch.setattr(node, "KILL_AFTER_NS", 0)
