--- a/aniseshed/policy.py
+++ b/aniseshed/policy.py
@@ -179,7 +179,7 @@
             self.admit(pending, account)
 
     def peek(self, pending: PendingRequest, refused: bool) -> None:
-        """Answer whether a take would be granted, by this limiter's own estimate, without a call."""
+        """Answer whether a take would be granted, by this limiter's own estimate, without a counter call."""
         del self.pending[pending.request.request_id]
         remaining = max(0.0, pending.account.refill(self.now_ns)) if pending.plan.rate > 0 else math.inf
         refill_ns = max(0.0, pending.units - remaining) / max(pending.account.rate, 1e-9) * SECOND_NS
