--- a/hookport/resp.py
+++ b/hookport/resp.py
@@ -148,9 +148,9 @@
     class_index: int
     plan: int
     units: float
-    spread: float
-    first: float
-    repeated: bool
+    set_size: float
+    set_start: float
+    is_retry: bool
 
 
 @dataclass(slots=True)
@@ -178,9 +178,9 @@
             customer=self.customer,
             timeout_ns=timeout_ns,
             units=fields.units,
-            set_size=fields.spread,
-            set_start=fields.first,
-            is_retry=fields.repeated,
+            set_size=fields.set_size,
+            set_start=fields.set_start,
+            is_retry=fields.is_retry,
             mode=mode,
         )
 
@@ -286,7 +286,7 @@
             class_index=class_index,
             plan=plan,
             units=parse_units(fields.get(b"units", b"1"), self.max_units),
-            spread=parse_whole_number(fields, b"spread", 1, self.limiters),
-            first=parse_whole_number(fields, b"first", 0, self.limiters - 1),
-            repeated=fields.get(b"r") == b"1",
+            set_size=parse_whole_number(fields, b"spread", 1, self.limiters),
+            set_start=parse_whole_number(fields, b"first", 0, self.limiters - 1),
+            is_retry=fields.get(b"r") == b"1",
         )
