--- a/tests/counter_model.py
+++ b/tests/counter_model.py
@@ -1,6 +1,6 @@
-"""Limiters and a counter that fails in every way it can, in simulated time, beside one exact token bucket.
+"""Limiters and a counter with all kinds of faults, in simulated time, compared with one exact token bucket.
 
-The measure is the overrun: in no stretch of time may a customer's units exceed ``burst + rate * time`` by
+The simulation measures the overrun: over no period may a customer's units exceed ``burst + rate * time`` by
 more than a bound.  The exact bucket may go into debt without limit; its lowest balance is the overrun.
 """
 
@@ -142,7 +142,7 @@
                 self.process_due()
 
     def flap(self, limiter: int, flap_s: float, seconds: float) -> None:
-        """Split the counter in two halves and move one limiter to and fro between them; then heal it."""
+        """Split the counter in two halves and move one limiter back and forth between them; then heal it."""
         second_half = set(range(-(-self.limiters // 2), self.limiters))
         self.counter.split()
         self.counter.side_of = lambda index: int(index in second_half)
@@ -154,8 +154,8 @@
     def start_measuring(self) -> None:
         """Measure from now on: an overrun of the limiters' start is not caused by the fault."""
         accounts = [(bench.limiter.accounts.get(1), bench.now_ns) for bench in self.benches]
-        known = [self.plan[1] if account is None else account.refill(now) for account, now in accounts]
-        self.balance, self.balance_ns, self.min_balance = max(self.balance, min(known)), self.now_ns, 0.0
+        balances = [self.plan[1] if account is None else account.refill(now) for account, now in accounts]
+        self.balance, self.balance_ns, self.min_balance = max(self.balance, min(balances)), self.now_ns, 0.0
 
     def send_request(self) -> None:
         if self.now_ns > self.next_shift_ns:
@@ -222,4 +222,4 @@
 
 
 def discard(_: object) -> None:
-    """For calls whose actions the bench has recorded already."""
+    """Ignore the actions of an event, which the bench has recorded already."""
