--- a/hookport/emulator/clock.py
+++ b/hookport/emulator/clock.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any
 
-MS = 1_000_000
-SECOND = 1_000_000_000
+MS_NS = 1_000_000
+SECOND_NS = 1_000_000_000
 
 
 class Clock:
--- a/hookport/emulator/renamed_constants.py
+++ b/hookport/emulator/renamed_constants.py
@@ -246,6 +246,8 @@
     "hookport.emulator.whole.UNIX_NS": "hookport.emulator.whole.UNIX_START_NS",
     "hookport.emulator.whole.PHASE_S": "hookport.emulator.whole.MAX_PHASE_S",
     "hookport.emulator.whole.LOOK_S": "hookport.emulator.whole.POLL_INTERVAL_S",
+    "hookport.emulator.clock.MS": "hookport.emulator.clock.MS_NS",
+    "hookport.emulator.clock.SECOND": "hookport.emulator.clock.SECOND_NS",
     "hookport.emulator.loop.SPIN": "hookport.emulator.loop.MAX_TURNS_PER_INSTANT",
     "hookport.emulator.network.LEAST_S": "hookport.emulator.network.MIN_DELAY_S",
     "hookport.emulator.network.MOST_S": "hookport.emulator.network.MAX_DELAY_S",
--- a/hookport/emulator/restart_scenario.py
+++ b/hookport/emulator/restart_scenario.py
@@ -12,13 +12,13 @@
 from dataclasses import dataclass, replace
 
 from aniseshed.interface import Health, ListKind, Request, ServerEntry, ServerList
-from hookport.emulator.clock import MS, SECOND, Clock
+from hookport.emulator.clock import MS_NS, SECOND_NS, Clock
 from hookport.emulator.servers import Behaviour, Server, ServerModel
 from hookport.emulator.simulated_limiter import Answer, SimulatedLimiter, make_settings
 from hookport.membership.curve import TrustCurve
 from hookport.membership.fleet import Address, FleetView, Snapshot, SnapshotEntry
 
-START_NS = 1_800_000_000 * SECOND
+START_NS = 1_800_000_000 * SECOND_NS
 AGES_S = (1, 10, 60, 600, 3_600, 28_800, 86_400, 604_800)
 MODES = ("discovery", "kept", "as-told", "none")
 DAY_S = 86_400.0
@@ -81,14 +81,18 @@
     if rng.random() < min(1.0, scenario.age_s / DAY_S):
         if rng.random() < scenario.address_kept_share:
             # The replacement started at some time since the list was saved, or within the last day.
-            started_ns = clock.now_ns - round(rng.uniform(0, min(scenario.age_s, DAY_S)) * SECOND)
+            started_ns = clock.now_ns - round(rng.uniform(0, min(scenario.age_s, DAY_S)) * SECOND_NS)
             return Behaviour.SERVES, started_ns, False
         behaviour = rng.choice((Behaviour.REFUSES, Behaviour.REFUSES, Behaviour.SILENT, Behaviour.NOISE))
         return behaviour, 0, False
     if rng.random() < scenario.restarted_share:
-        return Behaviour.SERVES, clock.now_ns - round(rng.random() * SECOND), True
+        return Behaviour.SERVES, clock.now_ns - round(rng.random() * SECOND_NS), True
     since_s = rng.expovariate(1 / (scenario.mean_crash_days * DAY_S))
-    return Behaviour.SERVES, clock.now_ns - round(since_s * SECOND) if since_s < scenario.age_s else 0, True
+    return (
+        Behaviour.SERVES,
+        clock.now_ns - round(since_s * SECOND_NS) if since_s < scenario.age_s else 0,
+        True,
+    )
 
 
 def simulate_restart(scenario: RestartScenario) -> RestartResult:
@@ -96,7 +100,7 @@
     rng, clock, model = random.Random(scenario.seed), Clock(START_NS), ServerModel()
     addresses: dict[Address, Server] = {}
     entries, actual_servers = list[SnapshotEntry](), list[tuple[ServerEntry, Address]]()
-    snapshot_ns = START_NS - round(scenario.age_s * SECOND)
+    snapshot_ns = START_NS - round(scenario.age_s * SECOND_NS)
     draining = set(rng.sample(range(scenario.servers), max(1, scenario.servers // 10)))
     for n in range(scenario.servers):
         address = (f"10.0.0.{n % 250}", 6379 + n // 250)
@@ -112,7 +116,7 @@
         entry = ServerEntry(id, 0, 0, 0, health, 1.0, 0)
         entries.append(SnapshotEntry(entry, address, 40, snapshot_ns, snapshot_ns))
         if behaviour is Behaviour.SERVES:
-            started_ms = started_ns // MS * MS
+            started_ms = started_ns // MS_NS * MS_NS
             current = replace(
                 entry, server=id if same_server else id + b"-new", health=Health.READY, started_ns=started_ms
             )
@@ -135,7 +139,7 @@
                   actual_servers: list[tuple[ServerEntry, Address]]) -> SimulatedLimiter:  # fmt: skip
     """Create a limiter and give it its first server list, as the scenario's mode says."""
     fleet = (
-        FleetView("dawn", index, scenario.limiters, TrustCurve(), round(FORGET_S * SECOND))
+        FleetView("dawn", index, scenario.limiters, TrustCurve(), round(FORGET_S * SECOND_NS))
         if scenario.mode == "kept"
         else None
     )
@@ -179,22 +183,22 @@
             answer_times_ns.append(clock.now_ns)
             for window_s in good_by_window:
                 good_by_window[window_s] += (
-                    sent_ns < START_NS + window_s * SECOND
+                    sent_ns < START_NS + window_s * SECOND_NS
                     and clock.now_ns - sent_ns <= traffic_class.target_ns
                 )
 
         for window_s in requests_by_window:
-            requests_by_window[window_s] += sent_ns < START_NS + window_s * SECOND
+            requests_by_window[window_s] += sent_ns < START_NS + window_s * SECOND_NS
         request = Request(0, int(is_claim), 0, rng.getrandbits(20), traffic_class.deadline_ns, 1.0,
                           float(scenario.limiters), 0.0, False)  # fmt: skip
         rng.choice(limiters).submit(request, work_s, on_answer)
-        if clock.now_ns < START_NS + scenario.length_s * SECOND:
-            clock.schedule(rng.expovariate(rate) * SECOND, send_request)
+        if clock.now_ns < START_NS + scenario.length_s * SECOND_NS:
+            clock.schedule(rng.expovariate(rate) * SECOND_NS, send_request)
 
     clock.schedule(0, send_request)
-    clock.run(START_NS + round((scenario.length_s + 5) * SECOND))
+    clock.run(START_NS + round((scenario.length_s + 5) * SECOND_NS))
     return RestartResult(
-        first_s=(min(answer_times_ns) - START_NS) / SECOND if answer_times_ns else float("inf"),
+        first_s=(min(answer_times_ns) - START_NS) / SECOND_NS if answer_times_ns else float("inf"),
         share_10s=good_by_window[10] / max(1, requests_by_window[10]),
         share_30s=good_by_window[30] / max(1, requests_by_window[30]),
         attempts=sum(limiter.attempts for limiter in limiters),
--- a/hookport/emulator/servers.py
+++ b/hookport/emulator/servers.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 from aniseshed.interface import Outcome
-from hookport.emulator.clock import SECOND, Clock
+from hookport.emulator.clock import SECOND_NS, Clock
 
 # A cold server's budget may be exceeded by this many requests of mean work: random arrivals alone do that.
 OVERLOAD_SLACK_JOBS = 4.0
@@ -72,7 +72,7 @@
 
     def warm_share(self) -> float:
         """Return the share of its full capacity that the server has now."""
-        age = (self.clock.now_ns - self.started_ns) / SECOND / self.model.warm_up_s
+        age = (self.clock.now_ns - self.started_ns) / SECOND_NS / self.model.warm_up_s
         return (
             1.0
             if not self.started_ns
@@ -83,7 +83,7 @@
         """Send an attempt; ``on_ended`` is called with its outcome when the limiter would see it."""
         job, model = Job(limiter, safe, work_s, on_ended), self.model
         delay_s = model.connect_timeout_s if self.behaviour is Behaviour.SILENT else model.link_delay_s
-        self.clock.schedule(delay_s * SECOND, self.on_arrival, job)
+        self.clock.schedule(delay_s * SECOND_NS, self.on_arrival, job)
         return job
 
     def on_arrival(self, job: Job) -> None:
@@ -107,7 +107,7 @@
         if self.warm_share() >= 1:
             return False
         self.recent_work.append((now_ns, work_s))
-        while self.recent_work[0][0] < now_ns - model.overload_window_s * SECOND:
+        while self.recent_work[0][0] < now_ns - model.overload_window_s * SECOND_NS:
             self.recent_work.popleft()
         budget_s = model.overload_multiple * model.cores * self.warm_share() * model.overload_window_s
         return sum(work for _, work in self.recent_work) > budget_s + OVERLOAD_SLACK_JOBS * model.work_s
@@ -118,7 +118,7 @@
             if job.finished:
                 continue  # the limiter gave up while it waited in the queue
             self.busy_cores += 1
-            self.clock.schedule(job.work_s / self.warm_share() * SECOND, self.on_work_done, job)
+            self.clock.schedule(job.work_s / self.warm_share() * SECOND_NS, self.on_work_done, job)
 
     def on_work_done(self, job: Job) -> None:
         self.busy_cores -= 1
@@ -134,4 +134,4 @@
         if not job.finished:
             job.finished = True
             delay_s = self.model.link_delay_s if return_delay_s is None else return_delay_s
-            self.clock.schedule(delay_s * SECOND, job.on_ended, outcome)
+            self.clock.schedule(delay_s * SECOND_NS, job.on_ended, outcome)
--- a/hookport/emulator/simulated_limiter.py
+++ b/hookport/emulator/simulated_limiter.py
@@ -9,11 +9,11 @@
 
 from aniseshed import interface as api
 from aniseshed.policy import Limiter
-from hookport.emulator.clock import MS, SECOND, Clock
+from hookport.emulator.clock import MS_NS, SECOND_NS, Clock
 from hookport.emulator.servers import Job, Server
 from hookport.membership.fleet import Address, FleetView, Update
 
-TICK_INTERVAL_NS = 250 * MS
+TICK_INTERVAL_NS = 250 * MS_NS
 
 
 class Answer(Enum):
@@ -168,20 +168,25 @@
 def make_settings(index: int, limiters: int, warm_up_s: float, cold_capacity_share: float) -> api.Settings:
     """Return settings with two request classes, search and claim, and a quota too large to limit anything."""
     search = api.TrafficClass(
-        target_ns=750 * MS, deadline_ns=3 * SECOND, value=2.0, late_value=0.0,
+        target_ns=750 * MS_NS, deadline_ns=3 * SECOND_NS, value=2.0, late_value=0.0,
         idempotency=api.Idempotency.SAFE, dedup_scope=api.DedupScope.ALL, dedup_window_ns=0, stream=False,
         target_stretch=0.0,
     )  # fmt: skip
     claim = replace(
-        search, target_ns=1500 * MS, deadline_ns=4 * SECOND, value=5.0, idempotency=api.Idempotency.UNSAFE
+        search,
+        target_ns=1500 * MS_NS,
+        deadline_ns=4 * SECOND_NS,
+        value=5.0,
+        idempotency=api.Idempotency.UNSAFE,
     )
     plan = api.Plan(1e6, 1e6, 0, 0.0, 0.0, 1.0, 0.0, 1.0)
     return api.Settings(
         index=index, limiters=limiters, zone=0, classes=(search, claim), plans=(plan,), largest_units=4,
-        settles_usage=False, has_counter=False, counter_timeout_ns=30 * MS, max_attempts=4,
+        settles_usage=False, has_counter=False, counter_timeout_ns=30 * MS_NS, max_attempts=4,
         max_pending=20_000,
         may_probe=False, may_cancel=True, may_duplicate=False, may_send_retry_after=True,
-        may_message_peers=False, max_retry_after_ns=SECOND, connect_timeout_ns=250 * MS, subscribe=False,
-        resubscribe_within_ns=10 * SECOND, drain_grace_ns=250 * MS, cold_capacity_share=cold_capacity_share,
-        warm_up_ns=round(warm_up_s * SECOND), overload_multiple=3.0, overload_ns=1500 * MS, report_fields=(),
+        may_message_peers=False, max_retry_after_ns=SECOND_NS, connect_timeout_ns=250 * MS_NS,
+        subscribe=False, resubscribe_within_ns=10 * SECOND_NS, drain_grace_ns=250 * MS_NS,
+        cold_capacity_share=cold_capacity_share, warm_up_ns=round(warm_up_s * SECOND_NS),
+        overload_multiple=3.0, overload_ns=1500 * MS_NS, report_fields=(),
     )  # fmt: skip
