--- a/hookport/emulator/__init__.py
+++ b/hookport/emulator/__init__.py
@@ -1,6 +1,6 @@
 """Simulation of limiters in virtual time.
 
-``restart_scenario`` runs the decision module and the server records of ``membership`` against models of
+``restart_scenario`` runs the limiter's policy and the server records of ``membership`` against models of
 servers and clients. ``whole`` runs the daemon and the test harness on a virtual event loop. Neither uses
 sockets or the wall clock, and all random draws come from the seed: the same seed gives the same result.
 """
--- a/hookport/emulator/experiment.py
+++ b/hookport/emulator/experiment.py
@@ -247,7 +247,7 @@
 
 
 def source_digest(folder: Path) -> str:
-    """Return a digest of all Python files of the daemon and the decision module in a source tree."""
+    """Return a digest of all Python files of the daemon and the limiter's policy in a source tree."""
     digest = hashlib.sha256()
     for path in sorted([*(folder / "aniseshed").rglob("*.py"), *(folder / "hookport").rglob("*.py")]):
         digest.update(str(path.relative_to(folder)).encode() + b"\0" + path.read_bytes() + b"\0")
@@ -286,13 +286,13 @@
         cell_values = [metric_value(by_key[cell, day, seed], metric) for day, seed in shared_days]
         base_values = [metric_value(by_key[base_cell, day, seed], metric) for day, seed in shared_days]
         gains = [a - b for a, b in zip(cell_values, base_values, strict=True)]
-        spread = statistics.stdev(gains) if len(gains) > 1 else 0.0
+        standard_deviation = statistics.stdev(gains) if len(gains) > 1 else 0.0
         worst_index = min(range(len(gains)), key=gains.__getitem__)
         result.append(
             Effect(
                 cell=cell,
                 gain=compare.paired_difference(cell_values, base_values),
-                needed=math.ceil((1.96 * spread / RELEVANT_GAIN) ** 2),
+                needed=math.ceil((1.96 * standard_deviation / RELEVANT_GAIN) ** 2),
                 worst=("{} {}".format(*shared_days[worst_index]), gains[worst_index]),
                 broke=sum(bool(run.broken) for run in runs if run.cell == cell),
             )
--- a/hookport/emulator/experiment_command.py
+++ b/hookport/emulator/experiment_command.py
@@ -49,10 +49,10 @@
     sys.stdout.buffer.write(msgspec.json.encode(summary))
 
 
-def play_run(spec: Experiment, run: Run, codes: dict[Path, str]) -> Run:
+def play_run(spec: Experiment, run: Run, source_digests: dict[Path, str]) -> Run:
     """Execute a run with its build and judge it with this one; an error is stored in the result."""
     build = experiment.build_folder(spec, run.cell)
-    result = msgspec.structs.replace(run, code=codes[build])
+    result = msgspec.structs.replace(run, code=source_digests[build])
     try:
         table = experiment.plan_table(spec, run.day, run.seed, run.cell)
     except plans.PlanError as error:
@@ -83,17 +83,17 @@
         raise ExperimentError(
             f"judging the run of {run.day} {run.seed} failed: {judge_process.stderr.decode()[-400:]}"
         )
-    answer: dict[str, Any] = msgspec.json.decode(judge_process.stdout)
+    summary: dict[str, Any] = msgspec.json.decode(judge_process.stdout)
     return msgspec.structs.replace(
         result,
-        score=answer["score"],
-        figures=answer["figures"],
-        broken=tuple(answer["broken"]),
-        error=answer["error"],
+        score=summary["score"],
+        figures=summary["figures"],
+        broken=tuple(summary["broken"]),
+        error=summary["error"],
     )
 
 
-def load_runs(path: Path, spec: Experiment, codes: dict[Path, str]) -> list[Run]:
+def load_runs(path: Path, spec: Experiment, source_digests: dict[Path, str]) -> list[Run]:
     """Read the runs of an earlier, interrupted execution; an incomplete last line is dropped.
 
     Raises ExperimentError if the file belongs to another experiment or to other sources.
@@ -116,7 +116,7 @@
             raise ExperimentError(
                 f"{path}: line {n}: {error}; delete the line to execute its run again"
             ) from error
-        if run.code != codes[experiment.build_folder(spec, run.cell)]:
+        if run.code != source_digests[experiment.build_folder(spec, run.cell)]:
             raise ExperimentError(
                 f"{path}: line {n}: executed with other sources; choose another folder with --out"
             )
@@ -128,12 +128,12 @@
 
 def run_experiment(spec: Experiment, folder: Path, jobs: int) -> tuple[list[Run], bool]:
     """Execute the runs that are missing; return all runs, and whether it was interrupted."""
-    codes = {
+    source_digests = {
         build: experiment.source_digest(build)
         for build in {experiment.build_folder(spec, c) for c in experiment.cells(spec)}
     }
     path = folder / "runs.jsonl"
-    runs = load_runs(path, spec, codes)
+    runs = load_runs(path, spec, source_digests)
     done_keys = {run.key for run in runs}
     # Day by day, so that the runs of an interrupted experiment can be compared in pairs.
     pending_runs = [
@@ -147,7 +147,7 @@
     with interruptible() as interrupted, open(path, "ab") as out, ThreadPoolExecutor(jobs) as pool:
         if not path.stat().st_size:
             out.write(msgspec.json.encode(spec) + b"\n")
-        arguments = ((spec, run, codes) for run in pending_runs)
+        arguments = ((spec, run, source_digests) for run in pending_runs)
         for done, (_, run) in enumerate(run_parallel(pool, play_run, arguments, jobs, interrupted.is_set), 1):
             runs.append(run)
             out.write(msgspec.json.encode(run) + b"\n")
--- a/hookport/emulator/experiment_page.py
+++ b/hookport/emulator/experiment_page.py
@@ -152,8 +152,8 @@
     column_factor, row_factor = spec.factor
     gain_by_cell = {effect.cell: effect.gain.mean for effect in effects} | {(0, 0): 0.0}
     grid = [
-        [gain_by_cell.get((a, d), float("nan")) for a in range(len(column_factor.levels))]
-        for d in range(len(row_factor.levels))
+        [gain_by_cell.get((column, row), float("nan")) for column in range(len(column_factor.levels))]
+        for row in range(len(row_factor.levels))
     ]
     figure, axes = plt.subplots(figsize=(5, 3.5))
     max_abs_gain = max((abs(effect.gain.mean) for effect in effects), default=1.0) or 1.0
--- a/hookport/emulator/loop.py
+++ b/hookport/emulator/loop.py
@@ -1,7 +1,7 @@
 """An asyncio event loop in virtual time, whose clock jumps to the next timer.
 
 The daemon and the test harness use asyncio's loop, protocols and transports only, so this loop and the
-network of ``network.py`` replace everything that is real about a run: ``select`` takes no time, and
+network of ``network.py`` replace all that a run needs of the operating system: ``select`` takes no time, and
 ``create_connection``, ``create_server`` and ``create_datagram_endpoint`` connect within this process. Tasks,
 timers and timeouts are asyncio's. Callbacks due at the same time run in the order in which they were
 scheduled, so neither memory addresses nor the iteration order of a set affects a run.
@@ -146,7 +146,7 @@
         return scheduled[0].when() if scheduled else self.now_s
 
     def describe_ready(self) -> str:
-        """The next callbacks, for the message of a SpinError."""
+        """Describe the next callbacks, for the message of a SpinError."""
         ready = list(self._ready)[:3]  # type: ignore[attr-defined]
         return "; ".join(repr(handle)[:300] for handle in ready) or "nothing"
 
--- a/hookport/emulator/network.py
+++ b/hookport/emulator/network.py
@@ -2,7 +2,7 @@
 
 It simulates: a random delay of each segment, in order within a connection; writes that are split at any byte;
 flow control, with a receive window beyond which the writer's buffer fills and its protocol is paused; peers
-that close, reset, or are killed with unread data; addresses on which nothing listens. Datagrams are delayed
+that close, reset, or are killed with unread data; addresses without a listener. Datagrams are delayed
 and may be reordered.
 
 Unlike a real network it cannot lose packets for so long that TCP gives up (the fault proxy of the test
@@ -24,7 +24,7 @@
 MIN_DELAY_S, MAX_DELAY_S = 60e-6, 250e-6  # one-way delay between processes of one machine
 SPLIT_WRITE_SHARE = 0.03  # share of the writes that arrive in two segments
 MAX_SPLIT_DELAY_S = 0.5e-3  # longest time between these two segments
-RECEIVE_WINDOW_BYTES = 1 << 18  # most bytes in flight and unread in one direction of a connection
+RECEIVE_WINDOW_BYTES = 1 << 18  # maximum in flight and unread, in each direction of a connection
 FIRST_PORT = 20_000
 
 
@@ -251,8 +251,11 @@
         delay_s = self.delay_s()
         if len(data) < 2 or self.rng.random() >= SPLIT_WRITE_SHARE:
             return [(delay_s, data)]
-        at = self.rng.randrange(1, len(data))
-        return [(delay_s, data[:at]), (delay_s + self.rng.uniform(0, MAX_SPLIT_DELAY_S), data[at:])]
+        split_index = self.rng.randrange(1, len(data))
+        return [
+            (delay_s, data[:split_index]),
+            (delay_s + self.rng.uniform(0, MAX_SPLIT_DELAY_S), data[split_index:]),
+        ]
 
     def listen(self, factory: Any, address: Address) -> Listener:
         host, port = address
@@ -265,7 +268,7 @@
     async def connect(self, factory: Any, address: Address) -> tuple[StreamTransport, asyncio.Protocol]:
         """Open a connection; a cancelled attempt closes both ends.
 
-        Raises ConnectionRefusedError if nothing listens at ``address``."""
+        Raises ConnectionRefusedError if there is no listener at ``address``."""
         await asyncio.sleep(self.delay_s())
         listener = self.listeners.get(address)
         if listener is None:
--- a/hookport/emulator/restart_scenario.py
+++ b/hookport/emulator/restart_scenario.py
@@ -1,7 +1,7 @@
 """Simulates a restart of all limiters during a discovery outage, from a saved server list of a given age.
 
 The fleet has changed since the list was saved, as much as is likely in that time: a rolling update replaces
-every server once a day, and a server restarts by itself once in some days. Most replacements listen on the
+every server once a day, and each server crashes and restarts every few days. Most replacements listen on the
 old address under a new id. On the other addresses connections are refused or time out, or another service
 answers. Some servers of the list were draining when it was saved: they must get no requests, whatever listens
 on their addresses now."""
@@ -33,9 +33,9 @@
     list, from a working discovery), ``kept`` (the saved list, with a trust in each server), ``as-told`` (the
     saved list, trusted fully) or ``none``. ``load`` is a share of the fleet's capacity, ``claim_share`` the
     share of requests that are claims. ``address_kept_share`` is the probability that a replacement listens on
-    the address of the server that it replaces, ``mean_crash_days`` the mean time between restarts of a server
-    by itself, and ``restarted_share`` the share of the servers that restarted within the last second before
-    the limiters did, which no limiter could notice.
+    the address of the server that it replaces, ``mean_crash_days`` the mean time between crashes of a server,
+    after which it restarts, and ``restarted_share`` the share of the servers that restarted within the last
+    second before the limiters did, which no limiter could notice.
     """
 
     age_s: float
@@ -87,10 +87,10 @@
         return behaviour, 0, False
     if rng.random() < scenario.restarted_share:
         return Behaviour.SERVES, clock.now_ns - round(rng.random() * SECOND_NS), True
-    since_s = rng.expovariate(1 / (scenario.mean_crash_days * DAY_S))
+    uptime_s = rng.expovariate(1 / (scenario.mean_crash_days * DAY_S))
     return (
         Behaviour.SERVES,
-        clock.now_ns - round(since_s * SECOND_NS) if since_s < scenario.age_s else 0,
+        clock.now_ns - round(uptime_s * SECOND_NS) if uptime_s < scenario.age_s else 0,
         True,
     )
 
@@ -137,7 +137,7 @@
 def start_limiter(scenario: RestartScenario, index: int, clock: Clock, model: ServerModel,
                   addresses: dict[Address, Server], entries: list[SnapshotEntry],
                   actual_servers: list[tuple[ServerEntry, Address]]) -> SimulatedLimiter:  # fmt: skip
-    """Create a limiter and give it its first server list, as the scenario's mode says."""
+    """Create a limiter and give it its first server list, according to the scenario's mode."""
     fleet = (
         FleetView("dawn", index, scenario.limiters, TrustCurve(), round(FORGET_S * SECOND_NS))
         if scenario.mode == "kept"
--- a/hookport/emulator/servers.py
+++ b/hookport/emulator/servers.py
@@ -20,7 +20,7 @@
 
     SERVES = "serves"
     DRAINS = "drains"  # rejects all requests
-    REFUSES = "refuses"  # refuses connections: nothing listens
+    REFUSES = "refuses"  # refuses connections, as without a listener
     SILENT = "silent"  # connecting times out
     NOISE = "noise"  # another service, whose answers cannot be parsed
 
@@ -72,11 +72,13 @@
 
     def warm_share(self) -> float:
         """Return the share of its full capacity that the server has now."""
-        age = (self.clock.now_ns - self.started_ns) / SECOND_NS / self.model.warm_up_s
+        warm_up_progress = (self.clock.now_ns - self.started_ns) / SECOND_NS / self.model.warm_up_s
         return (
             1.0
             if not self.started_ns
-            else min(1.0, self.model.cold_capacity_share + (1 - self.model.cold_capacity_share) * age)
+            else min(
+                1.0, self.model.cold_capacity_share + (1 - self.model.cold_capacity_share) * warm_up_progress
+            )
         )
 
     def arrive(self, limiter: int, safe: bool, work_s: float, on_ended: Callable[[Outcome], None]) -> Job:
--- a/hookport/emulator/simulated_limiter.py
+++ b/hookport/emulator/simulated_limiter.py
@@ -1,4 +1,4 @@
-"""A limiter in virtual time: the decision module, with server models in place of the daemon's sockets."""
+"""A limiter in virtual time: the policy, with server models in place of the daemon's sockets."""
 
 from __future__ import annotations
 
@@ -127,7 +127,7 @@
             self.settings.index,
             open_request.safe,
             open_request.work_s,
-            lambda o: self.on_attempt_ended(key, o),
+            lambda outcome: self.on_attempt_ended(key, outcome),
         )
         self.jobs[key] = job, action.server, self.clock.now_ns
         if action.deadline_ns:
@@ -156,7 +156,7 @@
             self.on_attempt_ended(key, outcome)
 
     def on_deadline(self, request_id: int) -> None:
-        """End the attempts as timed out, and the request as failed unless the decision module answers it."""
+        """End the attempts as timed out, and the request as failed unless the policy answers it."""
         open_request = self.open_requests.get(request_id)
         for number in range(open_request.attempts if open_request else 0):
             self.end_attempt((request_id, number), api.Outcome.TIMEOUT)
--- a/hookport/emulator/whole.py
+++ b/hookport/emulator/whole.py
@@ -1,12 +1,12 @@
 """Runs a plan of the test harness in one process and in virtual time (``--in whole``).
 
-The daemon's code and the harness's stand-ins, desks, fault proxy and datagrams are the same as in real time;
-only time and transport are replaced (``loop.py``, ``network.py``). The result depends on plan, seed and code
-only: the same three give the same history, byte for byte.
+The daemon's code and the harness's simulated servers, counter and discovery, desks, fault proxy and datagrams
+are the same as in real time; only time and transport are replaced (``loop.py``, ``network.py``). The result
+depends on plan, seed and code only: the same three give the same history, byte for byte.
 
-Not simulated: CPU and memory use of the daemons (a callback takes no time, so the referee's rule on memory
-has nothing to judge), the delay of signals, and differences between uvloop and asyncio. This module replaces
-the orchestrator of ``rehearsal/play.py`` and controls the limiters in the same way.
+Not simulated: CPU and memory use of the daemons (a callback takes no time, and the referee's rule on memory
+has no samples to check), the delay of signals, and differences between uvloop and asyncio. This module
+replaces the orchestrator of ``rehearsal/play.py`` and controls the limiters in the same way.
 """
 
 from __future__ import annotations
@@ -73,10 +73,10 @@
 
     def __init__(self, number: int, config: dict[str, Any]) -> None:
         self.number, self.config = number, config
-        self.starts = 0  # of its process so far
+        self.starts = 0  # number of starts of its process so far
         self.process: SimulatedProcess | None = None
         self.node: Node | None = None
-        self.exited: asyncio.Event = asyncio.Event()  # the present process has shut down in order
+        self.exited: asyncio.Event = asyncio.Event()  # the current process has shut down gracefully
         self.stopping = False
 
 
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -98,7 +98,7 @@
 
 
 def test_build_factor_runs_the_other_source_tree(tmp_path: Path) -> None:
-    """A source tree whose decision module refuses every request must score 0."""
+    """A source tree whose policy refuses every request must score 0."""
     build = tmp_path / "build"
     for package in ("aniseshed", "hookport"):
         shutil.copytree(experiment.ROOT / package, build / package)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -43,11 +43,11 @@
 
 
 def test_quota_tolerance_grows_with_faults_that_hide_spent_units() -> None:
-    calm, split = (
+    without_hiding, split = (
         days.quota_tolerance([{"do": "kill"}]),
         days.quota_tolerance([{"do": "counter", "mode": "split"}]),
     )
-    assert calm == days.BASE_QUOTA_TOLERANCE < days.quota_tolerance([{"do": "limiter"}]) < split
+    assert without_hiding == days.BASE_QUOTA_TOLERANCE < days.quota_tolerance([{"do": "limiter"}]) < split
 
 
 # Shrinking
