--- a/benchmarks/kit_rate.py
+++ b/benchmarks/kit_rate.py
@@ -4,8 +4,9 @@
 
 The limiters are replaced by a stub that answers at once, so that only the test harness is measured: clients,
 history and judgement. With --servers they are six plain limiters that forward every request, so that the
-simulated servers work too. Printed for each rate: the requests sent per second, the delay of their sending
-(p50 and p99, ms), the longest delay of an event loop of the harness, and whether the run would be valid.
+simulated servers are loaded too. Printed for each rate: the requests sent per second, the delay of their
+sending (p50 and p99, ms), the longest delay of an event loop of the harness, and whether the run would be
+valid.
 """
 
 from __future__ import annotations
@@ -81,7 +82,7 @@
         text, valid = asyncio.run(measure(rate, servers))
         print(text, flush=True)
         best_rate = max(best_rate, rate if valid else 0)
-    print(f"the kit drives {best_rate} requests a second in time")
+    print(f"highest rate with a valid run: {best_rate} requests per second")
     return 0
 
 
