--- a/benchmarks/counter_lost.py
+++ b/benchmarks/counter_lost.py
@@ -3,7 +3,7 @@
     python benchmarks/counter_lost.py [SEEDS]
 
 Uses all cores; 30 seeds are about four million steps.  Two to four limiters and a model counter run in
-simulated time.  One customer asks for 1.2 to 2.5 times its rate, and its requests shift between the limiters
+virtual time.  One customer asks for 1.2 to 2.5 times its rate, and its requests shift between the limiters
 every 3 to 8 s.  For each fault and plan it prints the largest debt of the exact bucket over all seeds, in
 units, with the bound; what was sent during and after the fault as a share of what the rate allows; and the
 counter calls per request.  Seeds that exceed a bound are listed, and the exit status is then 1.
--- a/benchmarks/quota_books.py
+++ b/benchmarks/quota_books.py
@@ -2,7 +2,7 @@
 
     python benchmarks/quota_books.py [SECONDS]
 
-Two to four limiters and a counter that answers at once run in simulated time.  The customer's requests (one
+Two to four limiters and a counter that answers at once run in virtual time.  The customer's requests (one
 unit each, Poisson) shift between the limiters every 3 to 8 s.  For each plan and usage it prints how much is
 sent of what an exact token bucket would allow, what is sent beyond the quota, the refusals, those with more
 than half of the quota left, and the counter calls per request.
--- a/hookport/emulator/experiment.py
+++ b/hookport/emulator/experiment.py
@@ -1,10 +1,10 @@
 """Experiments: the effect of a setting, a constant or a build on the score, over many days.
 
-A TOML file names factors and their levels, days and seeds. Every combination runs in virtual time, in a
-process of its own. Levels are compared on the same days and seeds (common random numbers): the result is the
-mean of the paired differences against the first level of each factor, with its 95 % confidence interval
-(Student's t), and the number of pairs needed to detect a difference of 0.005. Each result is appended to a
-file as soon as it is known, so an interrupted experiment can continue.
+A day is one plan at one seed. A TOML file names factors and their levels, days and seeds. Every combination
+runs in virtual time, in a process of its own. Levels are compared on the same days and seeds (common random
+numbers): the result is the mean of the paired differences against the first level of each factor, with its
+95 % confidence interval (Student's t), and the number of pairs needed to detect a difference of 0.005. Each
+result is appended to a file as soon as it is known, so an interrupted experiment can continue.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
     seed: Annotated[int, Meta(ge=0)] = 1
 
 
-Cell = tuple[int, ...]  # for each factor the index of its level
+Cell = tuple[int, ...]  # a combination of levels: for each factor the index of its level
 
 
 class Run(Struct, frozen=True, kw_only=True):
@@ -103,8 +103,8 @@
         raise ExperimentError(f"{path}: {plans.format_validation_error(str(error))}") from error
     except (msgspec.DecodeError, ValueError) as error:
         raise ExperimentError(f"{path}: not TOML: {error}") from error
-    for place, reason in find_problems(spec):
-        raise ExperimentError(f"{path}: {place}: {reason}")
+    for key, reason in find_problems(spec):
+        raise ExperimentError(f"{path}: {key}: {reason}")
     return spec
 
 
@@ -112,24 +112,24 @@
     """Yield the problems that no single key shows, each with its key and what is allowed."""
     names = [factor.name for factor in spec.factor]
     for n, factor in enumerate(spec.factor):
-        place = f"factor[{n}]"
+        key = f"factor[{n}]"
         if factor.name in names[:n]:
-            yield f"{place}.name", f"{factor.name!r} is used twice; names must be unique"
+            yield f"{key}.name", f"{factor.name!r} is used twice; names must be unique"
         if bool(factor.constant) + bool(factor.plan) + factor.build != 1:
-            yield place, "write exactly one of constant = ..., plan = ... and build = true"
+            yield key, "write exactly one of constant = ..., plan = ... and build = true"
         if len(set(map(repr, factor.levels))) < len(factor.levels):
-            yield f"{place}.levels", "levels must be unique"
+            yield f"{key}.levels", "levels must be unique"
         if factor.constant:
-            yield from constant_problems(factor, place)
+            yield from constant_problems(factor, key)
         if factor.build:
             for folder in factor.levels:
                 if not (Path(str(folder)) / "aniseshed" / "policy.py").is_file():
-                    yield f"{place}.levels", f"{folder}: not a source tree, aniseshed/policy.py is missing"
+                    yield f"{key}.levels", f"{folder}: not a source tree, aniseshed/policy.py is missing"
     if not spec.plans and not spec.days:
         yield "plans", "write plans = [...], days = [first, last], or both"
-    for place, pair in (("days", spec.days), ("seeds", spec.seeds)):
+    for key, pair in (("days", spec.days), ("seeds", spec.seeds)):
         if pair and pair[0] > pair[1]:
-            yield place, f"the range goes from {pair[0]} down to {pair[1]}; write the smaller number first"
+            yield key, f"the range goes from {pair[0]} down to {pair[1]}; write the smaller number first"
     for name in spec.plans:
         try:
             plan = plans.load(name)
@@ -149,7 +149,7 @@
         )
 
 
-def constant_problems(factor: Factor, place: str) -> Iterator[tuple[str, str]]:
+def constant_problems(factor: Factor, key: str) -> Iterator[tuple[str, str]]:
     for candidate in (factor.constant, *renamed_constants.other_names(factor.constant)):
         module, _, name = candidate.rpartition(".")
         try:
@@ -159,15 +159,15 @@
         break
     else:
         yield (
-            f"{place}.constant",
+            f"{key}.constant",
             f"{factor.constant}: no such constant; write a name like aniseshed.policy.MAX_QUOTA_WAIT_SHARE",
         )
         return
     if not isinstance(value, int | float):
-        yield f"{place}.constant", f"{factor.constant} is not a number but {type(value).__name__}"
+        yield f"{key}.constant", f"{factor.constant} is not a number but {type(value).__name__}"
     for level in factor.levels:
         if not isinstance(level, int | float):
-            yield f"{place}.levels", f"{level!r} is not a number, unlike {factor.constant}"
+            yield f"{key}.levels", f"{level!r} is not a number, unlike {factor.constant}"
 
 
 def set_plan_key(table: Table, key: str, value: Any, name: str) -> Table:
--- a/hookport/emulator/experiment_page.py
+++ b/hookport/emulator/experiment_page.py
@@ -166,7 +166,7 @@
 
 
 def plot_days(spec: Experiment, runs: Sequence[Run]) -> str:
-    """Plot the 40 worst days of the first combination by what their score lacks to 1."""
+    """Plot ``1 - score`` for the 40 worst days of the first combination."""
     base_cell = cells(spec)[0]
     scores = sorted(
         (run.score, f"{run.day} {run.seed}") for run in runs if run.cell == base_cell and not run.error
--- a/hookport/emulator/experiment_run.py
+++ b/hookport/emulator/experiment_run.py
@@ -47,8 +47,8 @@
 
 def main() -> int:
     sources = os.path.abspath(sys.argv[1])
-    here = os.path.dirname(os.path.abspath(__file__))
-    sys.path[:] = [sources, *(path for path in sys.path if os.path.abspath(path) != here)]
+    own_folder = os.path.dirname(os.path.abspath(__file__))
+    sys.path[:] = [sources, *(path for path in sys.path if os.path.abspath(path) != own_folder)]
     run: dict[str, Any] = json.load(sys.stdin)
     try:
         from hookport.emulator import whole
--- a/hookport/emulator/restart_scenario.py
+++ b/hookport/emulator/restart_scenario.py
@@ -22,7 +22,7 @@
 AGES_S = (1, 10, 60, 600, 3_600, 28_800, 86_400, 604_800)
 MODES = ("discovery", "kept", "as-told", "none")
 DAY_S = 86_400.0
-FORGET_S = 14 * DAY_S
+FORGET_S = 14 * DAY_S  # saved servers that discovery confirmed longer ago are dropped
 
 
 @dataclass(frozen=True, slots=True)
--- a/hookport/emulator/whole.py
+++ b/hookport/emulator/whole.py
@@ -274,10 +274,10 @@
         await self.start_limiter(slot)
         self.desks.set_limiter_state(slot.number, True, slot.starts, True)
 
-    async def stop_limiter(self, slot: LimiterSlot, planned_s: float) -> None:
+    async def stop_limiter(self, slot: LimiterSlot, notice_s: float) -> None:
         assert slot.node and slot.process
         self.call_in_process(slot, slot.node.shut_down)
-        self.loop.call_later(planned_s, self.desks.set_limiter_state, slot.number, False, slot.starts, True)
+        self.loop.call_later(notice_s, self.desks.set_limiter_state, slot.number, False, slot.starts, True)
         try:
             async with asyncio.timeout(shutdown_timeout_s(self.plan)):
                 await slot.exited.wait()
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -169,14 +169,14 @@
     """The true gain lies in the 95 % interval as often as it should, though days differ by far more."""
     spec, covered = make_experiment(), 0
     for repetition in range(200):
-        chance = random.Random(repetition)
+        rng = random.Random(repetition)
         runs = []
         for seed in range(1, 41):
-            day = chance.uniform(0.2, 0.9)
+            day_score = rng.uniform(0.2, 0.9)
             for c in experiment.cells(spec):
                 gain = 0.01 * (c == (1, 0))
                 error = "lost" if (c, seed) == ((1, 0), 1) else ""
-                score = 0.0 if error else day + gain + chance.gauss(0, 0.005)
+                score = 0.0 if error else day_score + gain + rng.gauss(0, 0.005)
                 runs.append(Run(cell=c, day="drawn", seed=seed, score=score, error=error))
         effect = next(e for e in experiment.compute_effects(spec, runs) if e.cell == (1, 0))
         assert (
@@ -193,8 +193,8 @@
     spec = make_experiment("grid")
     keys = [(c, n) for c in experiment.cells(spec) for n in (1, 2)]
     runs = [Run(cell=c, day="drawn", seed=n, score=0.1 * sum(c) + n / 100) for c, n in keys]
-    found = experiment.compute_effects(spec, runs)
-    assert len(page.heat_map(spec, found)) == 1 and page.render_page(spec, runs, found).count("<svg") == 4
+    effects = experiment.compute_effects(spec, runs)
+    assert len(page.heat_map(spec, effects)) == 1 and page.render_page(spec, runs, effects).count("<svg") == 4
 
 
 def test_constant_is_also_set_in_modules_that_imported_it() -> None:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -125,8 +125,8 @@
 def test_broken_limiter_is_found_shrunk_written_and_reproduced(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    greedy = {"name": "one", "plan": "premium", "customers": 2, "usage": 4.0, "units": [1, 2]}
-    monkeypatch.setattr(days, "plan_table", lambda seed, length_s: tiny_day(seed, desk=[greedy]))
+    over_quota_desk = {"name": "one", "plan": "premium", "customers": 2, "usage": 4.0, "units": [1, 2]}
+    monkeypatch.setattr(days, "plan_table", lambda seed, length_s: tiny_day(seed, desk=[over_quota_desk]))
     args = ["--days", "3", "--jobs", "2", "--keep", str(tmp_path), "--shrink", "12"]
     args += ["--mutant", "lets-all-in"]
     assert explore.main(args) == explore.RULE_BROKEN
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -90,11 +90,11 @@
 def test_seed_shifts_the_counter_window_boundaries() -> None:
     """With fixed boundaries a fault always hits the same phase of a window; in other phases a rule broke in
     one of ten runs."""
-    edges = []
+    phases_s = []
     for seed in range(1, 9):
         with whole.virtual_loop(seed):
-            edges.append(Environment.unix_ns() // 10**9 % 60)
-    assert len(set(edges)) > 4
+            phases_s.append(Environment.unix_ns() // 10**9 % 60)
+    assert len(set(phases_s)) > 4
 
 
 def test_stream_keeps_byte_order_splits_writes_and_closes_after_the_data() -> None:
