--- a/hookport/emulator/days.py
+++ b/hookport/emulator/days.py
@@ -1,4 +1,4 @@
-"""Random days: plans drawn from a seed, after the incidents that users recorded.
+"""Random days: plans drawn from a seed, modelled on the incidents that users recorded.
 
 A day has a fleet, two to four limiters, desks whose load is 0.4 to 1.1 times the fleet's capacity, and up to
 five faults, in half of the days all within a few seconds. The faults are those that recur in the incident
@@ -22,7 +22,8 @@
 MAX_FAULTS = 5
 FAULT_CLUSTER_S = 4.0  # on a day with clustered faults all of them begin within this time
 # The excess over a quota that a day's quota rule tolerates, as a share of the admitted units: a base, because
-# the slices of a small plan hold one request, and more for each fault that hides spent units from others.
+# a slice of a small quota holds one request, and more for each fault that hides spent units from the other
+# limiters.
 BASE_QUOTA_TOLERANCE = 0.25
 TOLERANCE_BY_FAULT = {"limiter": 0.08, "counter": 0.15, "link": 0.08}
 SPLIT_TOLERANCE = 0.45  # both halves of a split counter grant the same quota until the split is detected
--- a/hookport/emulator/network.py
+++ b/hookport/emulator/network.py
@@ -29,7 +29,7 @@
 
 
 class SocketInfo:
-    """The part of the socket interface that is used: its address, and SO_LINGER to close with a reset."""
+    """The part of the socket interface that callers use: its address, and SO_LINGER to close with a reset."""
 
     def __init__(self, name: Address) -> None:
         self.name, self.reset_on_close = name, False
@@ -38,7 +38,7 @@
         return self.name
 
     def setsockopt(self, level: int, option: int, value: object) -> None:
-        """Take any option for SO_LINGER, the only one that is set: closing then sends a reset."""
+        """Treat any option as SO_LINGER, the only one that callers set: closing then sends a reset."""
         self.reset_on_close = True
 
 
@@ -188,7 +188,7 @@
 
 
 class Listener:
-    """The part of ``asyncio.Server`` that is used."""
+    """The part of ``asyncio.Server`` that callers use."""
 
     def __init__(self, network: Network, factory: Any, address: Address) -> None:
         self.network, self.factory, self.address = network, factory, address
--- a/hookport/emulator/shrink.py
+++ b/hookport/emulator/shrink.py
@@ -19,7 +19,7 @@
 TABLE_KEYS = ("fleet", "counter", "peers", "discovery", "clients", "arrivals", "limiters")
 COUNT_KEYS = (("fleet", "servers"), ("fleet", "cores"), ("limiters", "count"), ("counter", "parts"))
 DURATION_KEYS = ("for_s", "back_s", "len_s")
-SHORTER_LENGTH_SHARES = (0.35, 0.5, 0.7, 0.85)  # new lengths to try, as shares of the present one
+SHORTER_LENGTH_SHARES = (0.35, 0.5, 0.7, 0.85)  # new lengths to try, as shares of the current one
 MIN_LENGTH_S = 2.0
 
 
