--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -43,11 +43,11 @@
 
 
 def test_quota_tolerance_grows_with_faults_that_hide_spent_units() -> None:
-    calm, split = (
+    without_hiding, split = (
         days.quota_tolerance([{"do": "kill"}]),
         days.quota_tolerance([{"do": "counter", "mode": "split"}]),
     )
-    assert calm == days.BASE_QUOTA_TOLERANCE < days.quota_tolerance([{"do": "limiter"}]) < split
+    assert without_hiding == days.BASE_QUOTA_TOLERANCE < days.quota_tolerance([{"do": "limiter"}]) < split
 
 
 # Shrinking
@@ -125,8 +125,8 @@
 def test_broken_limiter_is_found_shrunk_written_and_reproduced(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    greedy = {"name": "one", "plan": "premium", "customers": 2, "usage": 4.0, "units": [1, 2]}
-    monkeypatch.setattr(days, "plan_table", lambda seed, length_s: tiny_day(seed, desk=[greedy]))
+    over_quota_desk = {"name": "one", "plan": "premium", "customers": 2, "usage": 4.0, "units": [1, 2]}
+    monkeypatch.setattr(days, "plan_table", lambda seed, length_s: tiny_day(seed, desk=[over_quota_desk]))
     args = ["--days", "3", "--jobs", "2", "--keep", str(tmp_path), "--shrink", "12"]
     args += ["--mutant", "lets-all-in"]
     assert explore.main(args) == explore.RULE_BROKEN
