--- a/hookport/rehearsal/bound.py
+++ b/hookport/rehearsal/bound.py
@@ -21,7 +21,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-SECOND = 1_000_000_000
+SECOND_NS = 1_000_000_000
 
 
 class Offer(NamedTuple):
@@ -38,7 +38,7 @@
     ``offers`` are in order of time. ``rate`` is in units per second. ``burst`` is the number of units that
     may be sent at once, including the refill during the target latency."""
     admitted = [0.0] * len(offers)
-    refilled = [rate * offer.at_ns / SECOND for offer in offers]
+    refilled = [rate * offer.at_ns / SECOND_NS for offer in offers]
     for value in sorted({offer.value for offer in offers}, reverse=True):
         min_slack_from = [0.0] * len(offers)  # lowest refill minus units admitted, from each offer on
         total, lowest = sum(admitted), math.inf
--- a/hookport/rehearsal/page.py
+++ b/hookport/rehearsal/page.py
@@ -12,7 +12,7 @@
 
 WIDTH, LEFT_MARGIN, RIGHT_MARGIN = 1100, 110, 20  # pixels
 CURVE_HEIGHT, LANE_HEIGHT = 220, 16  # pixels
-SECOND = 1_000_000_000
+SECOND_NS = 1_000_000_000
 COLORS = {
     "offered": "#888", "served": "#1a7f37", "late": "#b8860b", "refused inside": "#c2410c",
     "refused beyond": "#6b8fb5", "failed": "#b91c1c", "unanswered": "#7e22ce", "never sent": "#111",
@@ -56,7 +56,7 @@
         """Draw the faults, numbered as in the list below the charts."""
         parts = []
         for number, row in enumerate(faults, 1):
-            x = self.x(row["t"] / SECOND)
+            x = self.x(row["t"] / SECOND_NS)
             parts.append(
                 f'<g><title>{escape(row["text"])}</title><line x1="{x}" x2="{x}" y1="14" y2="{height}" '
                 f'stroke="#b91c1c" stroke-dasharray="2 3" opacity=".6"/>'
@@ -133,9 +133,9 @@
     limiter_rows: dict[int, list[Row]] = defaultdict(list)
     for row in rows:
         if row["e"] == "arrive":
-            arrivals[index_by_id.get(row["s"], -1)].append(row["t"] / SECOND)
+            arrivals[index_by_id.get(row["s"], -1)].append(row["t"] / SECOND_NS)
         elif row["e"] == "ask":
-            attempts[row["l"]].append(row["t"] / SECOND)
+            attempts[row["l"]].append(row["t"] / SECOND_NS)
         elif row["e"] == "limiter":
             limiter_rows[row["l"]].append(row)
     parts, y = [], 4.0
@@ -144,7 +144,7 @@
         parts.append(heat_strip(chart, attempts[limiter], y, "#6d28d9"))
         down_s: float | None = None
         for row in limiter_rows[limiter]:
-            at_s = row["t"] / SECOND
+            at_s = row["t"] / SECOND_NS
             if row["what"] in ("kill", "exit", "gone", "overdue", "stop"):
                 down_s = at_s
             elif row["what"] in ("ready", "cont") and down_s is not None:
@@ -157,7 +157,7 @@
         parts.append(heat_strip(chart, arrivals[index], y, "#0f766e"))
         down_s = None
         for row in by_index[index]:
-            at_s = row["t"] / SECOND
+            at_s = row["t"] / SECOND_NS
             if row["e"] == "down":
                 down_s = at_s
             elif row["cold"]:
@@ -212,9 +212,9 @@
     legend = "".join(
         f'<span><i style="background:{color}"></i>{name}</span>' for name, color in COLORS.items()
     )
-    events = "".join(f"<li>{row['t'] / SECOND:.1f} s: {escape(row['text'])}</li>" for row in faults)
+    events = "".join(f"<li>{row['t'] / SECOND_NS:.1f} s: {escape(row['text'])}</li>" for row in faults)
     breach_items = "".join(
-        f"<li>{b.at_ns / SECOND:.3f} s: <b>{escape(b.rule)}</b>: {escape(b.text)}</li>"
+        f"<li>{b.at_ns / SECOND_NS:.3f} s: <b>{escape(b.rule)}</b>: {escape(b.text)}</li>"
         for b in judgement.breaches[:100]
     )
     title = escape(f"{judgement.plan.title}, seed {judgement.head['seed']}")
--- a/hookport/rehearsal/referee.py
+++ b/hookport/rehearsal/referee.py
@@ -29,17 +29,17 @@
 from hookport.rehearsal.plan import Plan
 from hookport.rehearsal.standins.server import OVERLOAD_SLACK_JOBS
 
-SECOND = 1_000_000_000
-MS = 1_000_000
+SECOND_NS = 1_000_000_000
+MS_NS = 1_000_000
 # How long a misbehaving client waits for an error reply or a close.
-BAD_CLIENT_TIMEOUT_NS = 3000 * MS
+BAD_CLIENT_TIMEOUT_NS = 3000 * MS_NS
 # Share of the misbehaving clients that may get no reaction, since the machine may be busy.
 MAX_UNANSWERED_BAD_CLIENT_SHARE = 0.05
 # An overload of a cold server is a breach if at least this share of its work came from limiters that had been
 # informed of its start.
 MIN_INFORMED_WORK_SHARE = 2 / 3
 # A kill this soon after the last byte of a request may have come before the limiter accepted the request.
-KILL_RACE_NS = 150 * MS
+KILL_RACE_NS = 150 * MS_NS
 # Factor on sums of the same numbers that were added in another order.
 ROUNDING_TOLERANCE = 1 - 1e-6
 MAX_DATAGRAM_BYTES = 256  # between limiters
@@ -80,7 +80,7 @@
 
     def refill(self, now_ns: int) -> float:
         """Add the tokens of the time that has passed; returns the tokens available."""
-        self.tokens = min(self.burst, self.tokens + self.rate * max(0, now_ns - self.at_ns) / SECOND)
+        self.tokens = min(self.burst, self.tokens + self.rate * max(0, now_ns - self.at_ns) / SECOND_NS)
         self.at_ns = max(self.at_ns, now_ns)
         return self.tokens
 
@@ -186,7 +186,7 @@
 
 def check_answers(history: HistoryIndex) -> Iterator[Breach]:
     """Rule answer: one final answer in time, with a value that a server produced for this request."""
-    grace_ns = round(history.plan.judge.grace_ms * MS)
+    grace_ns = round(history.plan.judge.grace_ms * MS_NS)
     produced = {(row["id"], row["v"]) for row in history.rows["reply"]}
     excuse = excuse_check(history)
     ends_ns = max((row["t"] for row in history.rows["ans"]), default=0)
@@ -198,7 +198,7 @@
 
     for id, ask in history.client_attempts.items():
         ans = history.answers.get(id)
-        limit_ns = ask["t"] + ask["d"] * MS + grace_ns
+        limit_ns = ask["t"] + ask["d"] * MS_NS + grace_ns
         if ans is None:
             if limit_ns < ends_ns and not excuse(ask, limit_ns):
                 yield Breach("answer", limit_ns, f"request {id} at limiter {ask['l']} never ended")
@@ -209,7 +209,7 @@
                 what = "had its connection closed" if how == "closed" else "was not answered"
                 yield Breach("answer", ans["t"], f"request {id} {what} by limiter {ask['l']}")
         elif ans["t"] > limit_ns and not excuse(ask, limit_ns):
-            text = f"request {id} was answered after {(ans['t'] - ask['t']) / MS:.0f} of {ask['d']} ms"
+            text = f"request {id} was answered after {(ans['t'] - ask['t']) / MS_NS:.0f} of {ask['d']} ms"
             yield Breach("answer", ans["t"], text)
         if how == "value" and (id, ans.get("v")) not in produced and not garbled(ask["l"], ans["t"]):
             yield Breach("answer", ans["t"], f"request {id} got a value that no server made for it")
@@ -251,7 +251,7 @@
 
 def check_drains(history: HistoryIndex) -> Iterator[Breach]:
     """Rule drain: a request counts as sent from its first byte."""
-    limit_ns = round((history.plan.limiters.drain_ms + history.plan.judge.grace_ms) * MS)
+    limit_ns = round((history.plan.limiters.drain_ms + history.plan.judge.grace_ms) * MS_NS)
     states: dict[tuple[int, str], list[Row]] = defaultdict(list)
     for row in history.rows["told"]:
         states[row["l"], row["s"]].append(row)
@@ -264,7 +264,7 @@
                     break
                 first = earlier
             if row["f"] > first["t"] + limit_ns:
-                late_ms, state = (row["f"] - first["t"]) / MS, first["state"].lower()
+                late_ms, state = (row["f"] - first["t"]) / MS_NS, first["state"].lower()
                 text = (
                     f"limiter {row['l']} sent to {row['s']} {late_ms:.0f} ms after it was reported as {state}"
                 )
@@ -275,7 +275,7 @@
     """Rule cold: recomputes each window's work from starts and arrivals and compares it with the budget."""
     fleet = history.plan.fleet
     mean_ms = sum(kind.work_ms for kind in history.plan.classes) / len(history.plan.classes)
-    window_ns = round(fleet.fall_s * SECOND)
+    window_ns = round(fleet.fall_s * SECOND_NS)
     informed_ns: dict[tuple[int, str, int], int] = {}  # when a limiter was informed of a start
     for row in history.rows["told"]:
         informed_ns.setdefault((row["l"], row["s"], row["born"]), row["t"])
@@ -289,7 +289,7 @@
         for n, up in enumerate(ups):
             if not up["cold"]:
                 continue
-            until_ns = up["t"] + round(fleet.cold_s * SECOND)
+            until_ns = up["t"] + round(fleet.cold_s * SECOND_NS)
             if n + 1 < len(ups):
                 until_ns = min(until_ns, ups[n + 1]["t"])
             window: deque[Row] = deque()
@@ -301,7 +301,7 @@
                 window_work_ms += row["w"]
                 while window[0]["t"] < row["t"] - window_ns:
                     window_work_ms -= window.popleft()["w"]
-                warm_up_share = (row["t"] - up["t"]) / SECOND / fleet.cold_s
+                warm_up_share = (row["t"] - up["t"]) / SECOND_NS / fleet.cold_s
                 capacity_share = min(1.0, fleet.cold_from + (1 - fleet.cold_from) * warm_up_share)
                 budget_ms = (
                     fleet.fall_multiple * up["cores"] * up["speed"] * capacity_share * fleet.fall_s * 1000
--- a/hookport/rehearsal/score.py
+++ b/hookport/rehearsal/score.py
@@ -17,8 +17,8 @@
 from hookport.rehearsal.history import Row
 from hookport.rehearsal.plan import Plan
 
-SECOND = 1_000_000_000
-MS = 1_000_000
+SECOND_NS = 1_000_000_000
+MS_NS = 1_000_000
 WINDOW_S = 10  # length of the windows of which the worst counts
 SERIES_STEP_S = 1  # resolution of the charts of requests per second
 OUTCOMES = ("served", "late", "refused inside", "refused beyond", "failed", "unanswered", "never sent")
@@ -93,7 +93,7 @@
         request_class = history.plan.classes[due["c"]]
         if served:
             latency_ns = served[0]["t"] - due["t"]
-            outcome = "served" if latency_ns <= request_class.aim_ms * MS else "late"
+            outcome = "served" if latency_ns <= request_class.aim_ms * MS_NS else "late"
             result.append(RequestOutcome(due, within_quota, outcome, latency_ns))
             continue
         last_how = rows[-1]["how"] if rows else "none"
@@ -112,7 +112,7 @@
             continue
         if history.within_quota.get(id) is False:
             result[ask["n"]] -= request_value(plan, due) * plan.plans[due["q"]].over_cost
-        elif ans and ans["how"] == "value" and ans["t"] - due["t"] <= plan.classes[due["c"]].aim_ms * MS:
+        elif ans and ans["how"] == "value" and ans["t"] - due["t"] <= plan.classes[due["c"]].aim_ms * MS_NS:
             result[ask["n"]] += request_value(plan, due)
     return result
 
@@ -143,7 +143,7 @@
     for outcome in outcomes:
         maximum = earnable[outcome.due["n"]]
         gain = earned.get(outcome.due["n"], 0.0)
-        for pair in (whole, windows[outcome.due["t"] // (WINDOW_S * SECOND)], by_plan[outcome.due["q"]]):
+        for pair in (whole, windows[outcome.due["t"] // (WINDOW_S * SECOND_NS)], by_plan[outcome.due["q"]]):
             pair[0] += gain
             pair[1] += maximum
     result = Score(requests=len(history.requests), tries=len(history.client_attempts))
@@ -196,7 +196,7 @@
     result.cpu_ms = ratio(total_ms, sum(attempts_by_limiter.values()))
     for n, request_class in enumerate(plan.classes):
         latencies_ms = [
-            outcome.latency_ns / MS for outcome in outcomes if outcome.latency_ns and outcome.due["c"] == n
+            outcome.latency_ns / MS_NS for outcome in outcomes if outcome.latency_ns and outcome.due["c"] == n
         ]
         if latencies_ms:
             result.latency_ms[request_class.name] = {
@@ -242,7 +242,7 @@
     steps = int(plan.length_s / SERIES_STEP_S) + 1
     series: dict[str, list[float]] = {name: [0.0] * steps for name in ("offered", *OUTCOMES)}
     for outcome in request_outcomes(history):
-        step = min(steps - 1, max(0, outcome.due["t"] // (SERIES_STEP_S * SECOND)))
+        step = min(steps - 1, max(0, outcome.due["t"] // (SERIES_STEP_S * SECOND_NS)))
         series["offered"][step] += 1 / SERIES_STEP_S
         series[outcome.name][step] += 1 / SERIES_STEP_S
     return series
--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from hookport.rehearsal.bound import SECOND, Offer, max_shares, max_units
+from hookport.rehearsal.bound import SECOND_NS, Offer, max_shares, max_units
 from hookport.rehearsal.referee import TokenBucket
 
 
@@ -19,7 +19,7 @@
     """Whether the units keep the quota in every interval from one offer to another."""
     return all(
         sum(units[first : last + 1])
-        <= burst + rate * (offers[last].at_ns - offers[first].at_ns) / SECOND + 1e-6
+        <= burst + rate * (offers[last].at_ns - offers[first].at_ns) / SECOND_NS + 1e-6
         for first in range(len(offers))
         for last in range(first, len(offers))
     )
@@ -31,7 +31,7 @@
     rate, burst = rng.uniform(0.5, 3), rng.uniform(2, 5)
     at, offers = 0, []
     for _ in range(9):
-        at += round(rng.expovariate(2) * SECOND)
+        at += round(rng.expovariate(2) * SECOND_NS)
         offers.append(Offer(at, rng.randint(1, 2), rng.choice([2.0, 2.0, 5.0])))
     admitted = max_units(offers, rate, burst)
     assert within_limit(offers, admitted, rate, burst)
@@ -48,7 +48,7 @@
     """With single units, whole seconds and a whole burst only whole requests are admitted, so the bound is
     exact."""
     rng = random.Random(seed)
-    offers = [Offer(rng.randint(0, 6) * SECOND, 1.0, rng.choice([1.0, 2.0, 5.0])) for _ in range(10)]
+    offers = [Offer(rng.randint(0, 6) * SECOND_NS, 1.0, rng.choice([1.0, 2.0, 5.0])) for _ in range(10)]
     offers.sort()
     admitted = max_units(offers, 1.0, 2.0)
     assert set(admitted) <= {0.0, 1.0} and within_limit(offers, admitted, 1.0, 2.0) and 0 < sum(admitted) < 10
@@ -59,13 +59,13 @@
     """One token bucket, served in order, each request as soon as possible and within the target latency."""
     rng = random.Random(seed)
     rate, burst, target_s = 4.0, 6.0, 0.75
-    offers = sorted(Offer(round(rng.uniform(0, 20) * SECOND), rng.randint(1, 3), 1.0) for _ in range(120))
+    offers = sorted(Offer(round(rng.uniform(0, 20) * SECOND_NS), rng.randint(1, 3), 1.0) for _ in range(120))
     bucket, served, now = TokenBucket(rate, burst), 0.0, 0
     for offer in offers:
         now = max(now, offer.at_ns)
         missing = offer.units - bucket.refill(now)
-        at = now + max(0, round(missing / rate * SECOND) + 1)
-        if at <= offer.at_ns + target_s * SECOND:
+        at = now + max(0, round(missing / rate * SECOND_NS) + 1)
+        if at <= offer.at_ns + target_s * SECOND_NS:
             now = at
             served += offer.units * bucket.take(at, offer.units)
     numbered = [(n, 7, offer) for n, offer in enumerate(offers)]
@@ -77,7 +77,7 @@
 
 
 def test_valuable_requests_are_admitted_first_and_customers_have_separate_quotas() -> None:
-    cheap, valuable = Offer(0, 2.0, 1.0), Offer(SECOND, 2.0, 9.0)
+    cheap, valuable = Offer(0, 2.0, 1.0), Offer(SECOND_NS, 2.0, 9.0)
     assert max_units([cheap, valuable], 1.0, 2.0) == [1.0, 2.0]
     shares = max_shares([(1, 7, cheap), (2, 8, cheap)], {7: (1.0, 2.0), 8: (1.0, 1.0)}, 0.0)
     assert shares == {1: 1.0, 2: 0.5}
