--- a/benchmarks/kit_rate.py
+++ b/benchmarks/kit_rate.py
@@ -1,4 +1,4 @@
-"""The request rate that the rehearsal test harness sustains before its own delays distort a run.
+"""The request rate that the test harness sustains before its own delays distort a run.
 
     python benchmarks/kit_rate.py [--servers] [RATE ...]
 
@@ -68,9 +68,9 @@
     text = (
         f"{len(delays_ms) / LENGTH_S:7.0f}/s  answered {answered / max(1, len(delays_ms)):6.1%}  "
         f"late p50 {quantile(delays_ms, 0.5):5.1f} p99 {quantile(delays_ms, 0.99):6.1f} ms  "
-        f"held {max_lag_ms:5.0f} ms  "
+        f"blocked {max_lag_ms:5.0f} ms  "
         f"answer p50 {quantile(latencies_ms, 0.5):5.1f} p99 {quantile(latencies_ms, 0.99):6.1f} ms  "
-        f"read in {read_s:.1f} s  {'void: ' + reason if reason else 'counts'}"
+        f"read in {read_s:.1f} s  {'void: ' + reason if reason else 'valid'}"
     )
     return text, not reason
 
@@ -81,7 +81,7 @@
         text, valid = asyncio.run(measure(rate, servers))
         print(text, flush=True)
         best_rate = max(best_rate, rate if valid else 0)
-    print(f"the kit drives {best_rate} requests a second in time")
+    print(f"the test harness sustains {best_rate} requests per second")
     return 0
 
 
--- a/hookport/rehearsal/bound.py
+++ b/hookport/rehearsal/bound.py
@@ -1,4 +1,4 @@
-"""The most value that any policy can earn within the quotas: the reference for a score.
+"""The maximum value that any policy can earn within the quotas: the reference for a score.
 
 A gateway that admits requests in order of arrival is no upper bound: clients retry, so a policy serves
 requests that this gateway would have refused, and it may reserve a customer's quota for its more valuable
@@ -9,9 +9,9 @@
 of length ``d`` a customer may send ``burst + rate * d`` units, so of the requests due in it at most
 ``burst + rate * (d + target)`` units can earn. These limits, one for each interval, are an
 intersecting-submodular function, so the admissible amounts form a polymatroid (Edmonds, "Submodular
-Functions, Matroids, and Certain Polyhedra", 1970), and admitting as much as fits in order of falling value is
-optimal. Servers are assumed to be fast and without capacity limit, so the cost of their faults remains in the
-score.
+Functions, Matroids, and Certain Polyhedra", 1970), and admitting as much as fits in order of decreasing value
+is optimal. Servers are assumed to be fast and without capacity limit, so the cost of their faults remains
+in the score.
 """
 
 from __future__ import annotations
@@ -52,8 +52,8 @@
         for n, offer in enumerate(offers):
             max_slack_until = max(max_slack_until, refilled[n] - admitted_before)
             if offer.value == value:
-                room = burst + min_slack_from[n] - admitted_of_value - max_slack_until
-                admitted[n] = max(0.0, min(offer.units, room))
+                available = burst + min_slack_from[n] - admitted_of_value - max_slack_until
+                admitted[n] = max(0.0, min(offer.units, available))
                 admitted_of_value += admitted[n]
             admitted_before += admitted[n]
     return admitted
--- a/hookport/rehearsal/command.py
+++ b/hookport/rehearsal/command.py
@@ -132,7 +132,7 @@
 
 @contextlib.asynccontextmanager
 async def temporary_folder() -> AsyncIterator[Path]:
-    """A temporary folder for histories; it is deleted with the command, even if the command is killed."""
+    """A temporary folder for histories; it is deleted when the command ends, even if it is killed."""
     reaper = Reaper()
     await reaper.start()
     with tempfile.TemporaryDirectory(prefix="hookport-rehearsal-") as folder:
@@ -192,10 +192,10 @@
 
 def print_traces(console: Console, args: argparse.Namespace, judged: judgement.Judgement) -> None:
     """Print the requests named by --trace; raises TraceError."""
-    for which in args.trace:
-        rows = trace.rows_of_request(judged.rows, int(judged.head["seed"]), which)
+    for request in args.trace:
+        rows = trace.rows_of_request(judged.rows, int(judged.head["seed"]), request)
         console.print(
-            f"request {which}:", *trace.format_rows(rows), sep="\n  ", highlight=False, soft_wrap=True
+            f"request {request}:", *trace.format_rows(rows), sep="\n  ", highlight=False, soft_wrap=True
         )
 
 
@@ -297,7 +297,7 @@
     if args.limiter or args.against:
         raise plans.PlanError("--in whole plays this daemon's own code: leave --limiter and --against out")
     console = Console()
-    began_s = time.monotonic()
+    started_s = time.monotonic()
     try:
         with show.ProgressDisplay(Console(stderr=True)) as display:
             progress = display.add("whole", plan.length_s)
@@ -306,12 +306,12 @@
     except (emulator.WholeError, emulator.SpinError, emulator.StallError) as error:
         raise PlayError(f"{error}; to repeat: hookport rehearse {args.plan} --in whole --seed {args.seed}"
                         + (f" --length {args.length:g}" if args.length else "")) from error  # fmt: skip
-    took_s = time.monotonic() - began_s
+    elapsed_s = time.monotonic() - started_s
     columns = [("virtual time", judged)]
     console.print(show.score_table(columns))
     show.print_breaches(console, "hookport", judged)
-    speed = plan.length_s / took_s
-    console.print(f"history {digest}; {took_s:.1f} s, {speed:.1f} times real time", highlight=False)
+    speed = plan.length_s / elapsed_s
+    console.print(f"history {digest}; {elapsed_s:.1f} s, {speed:.1f} times real time", highlight=False)
     write_reports(args, columns)
     print_traces(console, args, judged)
     return exit_status(judged)
--- a/hookport/rehearsal/desks.py
+++ b/hookport/rehearsal/desks.py
@@ -98,7 +98,7 @@
         self.idle_connections: list[list[ClientConnection]] = [[] for _ in ports]
         self.connections: dict[ClientConnection, None] = {}  # in order of arrival
         self.open_due_ns: dict[int, int] = {}  # due time of each unfinished request, by arrival number
-        self.class_names = [traffic_class.name.encode() for traffic_class in plan.classes]
+        self.class_names = [request_class.name.encode() for request_class in plan.classes]
         self.quota_names = [quota.name.encode() for quota in plan.plans]
         self.asked, self.served, self.refused = 0, 0, 0
         self.stopped = False
@@ -144,10 +144,10 @@
         return candidates[int(draw.uniform(self.seed, "front", arrival.number, number) * len(candidates))]
 
     def start_attempt(self, arrival: draw.Arrival, number: int) -> None:
-        traffic_class = self.plan.classes[arrival.class_index]
+        request_class = self.plan.classes[arrival.class_index]
         elapsed_ms = (Environment.clock_ns() - self.open_due_ns[arrival.number]) / 1e6
-        remaining_ms = traffic_class.deadline_ms - elapsed_ms
-        wait_ms = int(min(remaining_ms, self.plan.clients.try_share * traffic_class.deadline_ms))
+        remaining_ms = request_class.deadline_ms - elapsed_ms
+        wait_ms = int(min(remaining_ms, self.plan.clients.try_share * request_class.deadline_ms))
         if wait_ms < 2 or self.stopped:
             self.open_due_ns.pop(arrival.number, None)
             return
@@ -375,14 +375,14 @@
 
 
 class DesksWorker:
-    """Executes the commands that the orchestrator sends to this process."""
+    """Executes the orders that the orchestrator sends to this process."""
 
     desks: Desks
     recorder: Recorder
     lag: LagMonitor
     progress_task: asyncio.Task[None]
 
-    async def take(self, orders: WorkerPipe, order: dict[str, Any]) -> bool:
+    async def handle_order(self, pipe: WorkerPipe, order: dict[str, Any]) -> bool:
         if order["op"] == "start":
             Environment.host = order["host"]
             plan = msgspec.convert(order["plan"], plans.Plan)
@@ -390,11 +390,11 @@
             self.desks = Desks(plan, order["seed"], self.recorder, order["ports"])
             self.lag = LagMonitor(self.desks.loop, "desks", self.desks.write_row)
             arrivals = self.desks.arrivals
-            orders.send_event(ev="ready", requests=len(arrivals), digest=draw.digest(arrivals))
+            pipe.send_event(ev="ready", requests=len(arrivals), digest=draw.digest(arrivals))
         elif order["op"] == "go":
             self.desks.start(order["start_ns"])
             self.progress_task = asyncio.get_running_loop().create_task(
-                report_progress(self.desks, orders.send_event)
+                report_progress(self.desks, pipe.send_event)
             )
         elif order["op"] == "limiter":
             self.desks.set_limiter_state(order["l"], order["up"], order["p"], order["planned"])
@@ -404,7 +404,7 @@
             self.desks.stop()
             await asyncio.sleep(0.05)
             self.recorder.close()
-            orders.send_event(ev="ended")
+            pipe.send_event(ev="ended")
             return False
         return True
 
@@ -418,4 +418,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(run_worker("desks", DesksWorker().take))
+    sys.exit(run_worker("desks", DesksWorker().handle_order))
--- a/hookport/rehearsal/draw.py
+++ b/hookport/rehearsal/draw.py
@@ -1,7 +1,8 @@
 """Random draws of a rehearsal, all of them functions of the seed.
 
-A draw depends on the seed and on the names of what it is for, never on earlier draws. So request 17 has the
-same amount of work whichever server runs it, in whatever order requests come, and on a busy machine too.
+A draw depends on the seed and on the names that identify its purpose, never on earlier draws. So request 17
+has the same amount of work whichever server runs it, in whatever order requests come, and also on a
+busy machine.
 """
 
 from __future__ import annotations
@@ -131,21 +132,23 @@
     heap: list[tuple[float, int, int, int, int]] = []
     for desk_index, desk in enumerate(plan.desk):
         for customer_index in range(desk.customers):
-            for turn, (at_s, units) in enumerate(customer_arrivals(plan, seed, desk_index, customer_index)):
-                heapq.heappush(heap, (at_s, desk_index, customer_index, turn, units))
+            for request_index, (at_s, units) in enumerate(
+                customer_arrivals(plan, seed, desk_index, customer_index)
+            ):
+                heapq.heappush(heap, (at_s, desk_index, customer_index, request_index, units))
     schedule: list[Arrival] = []
     while heap:
-        at_s, desk_index, customer_index, turn, units = heapq.heappop(heap)
+        at_s, desk_index, customer_index, request_index, units = heapq.heappop(heap)
         desk = plan.desk[desk_index]
-        draw = uniform(seed, "class", desk.name, customer_index, turn)
+        draw = uniform(seed, "class", desk.name, customer_index, request_index)
         candidates = unsafe_classes if draw < desk.claims else safe_classes
         class_index = candidates[
-            int(uniform(seed, "kind", desk.name, customer_index, turn) * len(candidates))
+            int(uniform(seed, "kind", desk.name, customer_index, request_index) * len(candidates))
         ]
         first = customer_index % limiters if desk.first is None else desk.first
         if desk.shift_at_s is not None and at_s >= desk.shift_at_s:
             first = (first + desk.shift_by) % limiters
-        customer_key = f"{seed}/{desk.name}/{customer_index}" + (f"/{turn}" if desk.once else "")
+        customer_key = f"{seed}/{desk.name}/{customer_index}" + (f"/{request_index}" if desk.once else "")
         digest = hashlib.blake2b(customer_key.encode(), digest_size=5).digest()
         customer = int.from_bytes(digest) % (1 << 33)
         quota_index = next(n for n, q in enumerate(plan.plans) if q.name == desk.plan)
--- a/hookport/rehearsal/history.py
+++ b/hookport/rehearsal/history.py
@@ -26,7 +26,8 @@
 usage      limiter l: cpu_s and rss_mb so far
 counts     limiter l: total number of its calls at the counter
 words      limiter l: datagrams sent, size in bytes of the largest, datagrams received in its busiest second
-rude       a misbehaving client: ok (got an error or a close in time), served; l, the limiter, if known
+rude       a client sent a malformed request: ok (it got an error or a close in time), served; l (limiter, if
+           known)
 fault      an event of the plan's timeline: text
 excuse     until ``until``, requests that limiter l leaves unanswered are attributed to a fault of the plan;
            with ``garbled`` also unsolicited bytes and corrupted values
--- a/hookport/rehearsal/mutants.py
+++ b/hookport/rehearsal/mutants.py
@@ -20,7 +20,7 @@
 from hookport import __main__ as daemon
 from hookport import clients, node, resp, servers
 
-REQUESTS_PER_FAULT = 25  # Mutants with occasional faults spoil one request in so many.
+REQUESTS_PER_FAULT = 25  # Mutants with occasional faults affect one request in this many on average.
 LEAKED_BYTES_PER_REQUEST = 200_000
 RNG = random.Random(7)
 ApplyMutant = Callable[[], None]
--- a/hookport/rehearsal/plain.py
+++ b/hookport/rehearsal/plain.py
@@ -2,7 +2,7 @@
 
 It follows the protocol rules and takes the daemon's configuration, so it can be started in the daemon's place
 as ``python -m hookport.rehearsal.plain``. With ``--stub`` it replies without any server, to measure the
-overhead of the test tools alone.
+overhead of the test harness alone.
 """
 
 from __future__ import annotations
--- a/hookport/rehearsal/plan.py
+++ b/hookport/rehearsal/plan.py
@@ -329,27 +329,27 @@
     return sorted(item.name.removesuffix(".toml") for item in folder.iterdir() if item.name.endswith(".toml"))
 
 
-def load(which: str) -> Plan:
+def load(name_or_path: str) -> Plan:
     """Load a bundled plan by its name or a plan file by its path; raises PlanError."""
-    if which in bundled_names():
-        text = (resources.files("hookport.rehearsal") / "plans" / f"{which}.toml").read_text()
-        return parse(text, which)
-    if not os.path.exists(which):
-        close = difflib.get_close_matches(which, bundled_names(), 1)
+    if name_or_path in bundled_names():
+        text = (resources.files("hookport.rehearsal") / "plans" / f"{name_or_path}.toml").read_text()
+        return parse(text, name_or_path)
+    if not os.path.exists(name_or_path):
+        close = difflib.get_close_matches(name_or_path, bundled_names(), 1)
         hint = f"; did you mean {close[0]}?" if close else ""
         raise PlanError(
-            f"{which}: no such plan; give a TOML file or one of {', '.join(bundled_names())}{hint}"
+            f"{name_or_path}: no such plan; give a TOML file or one of {', '.join(bundled_names())}{hint}"
         )
     try:
-        with open(which, "rb") as file:
+        with open(name_or_path, "rb") as file:
             text = file.read().decode()
     except OSError as error:
-        raise PlanError(f"{which}: cannot be read: {error.strerror}") from error
+        raise PlanError(f"{name_or_path}: cannot be read: {error.strerror}") from error
     except UnicodeDecodeError as error:
         raise PlanError(
-            f"{which}: byte {error.start}: not valid UTF-8; save the file as UTF-8 text"
+            f"{name_or_path}: byte {error.start}: not valid UTF-8; save the file as UTF-8 text"
         ) from error
-    return parse(text, which)
+    return parse(text, name_or_path)
 
 
 def parse(text: str, file: str) -> Plan:
@@ -555,7 +555,7 @@
 def limiter_settings(plan: Plan, index: int) -> dict[str, Any]:
     """The deployment settings of limiter ``index``, with the platform's key names and in nanoseconds."""
     ms_ns, second_ns = 1_000_000, 1_000_000_000
-    largest = max(desk.units[1] for desk in plan.desk)
+    max_units = max(desk.units[1] for desk in plan.desk)
     return {
         "family": "gate",
         "tier": 0,
@@ -601,7 +601,7 @@
             "hasCounter": plan.counter.present,
             "countLimit": round(plan.counter.timeout_ms * ms_ns),
             "counterPrice": 0.02,
-            "largest": largest,
+            "largest": max_units,
             "peerIntake": float(plan.peers.per_s if plan.peers.allowed else 0),
             "settles": False,
             "usePeriod": 0,
--- a/hookport/rehearsal/play.py
+++ b/hookport/rehearsal/play.py
@@ -1,4 +1,4 @@
-"""The orchestrator of a run: starts the world, the limiters and the desks, follows the plan, ends them all.
+"""The orchestrator of a run: starts the world, the limiters and the desks, follows the plan, stops them all.
 
 The processes are this one, ``world`` (servers, counter, discovery, faults), ``desks`` (clients), one for each
 limiter, and a reaper that kills the others if this one is killed.
@@ -73,7 +73,7 @@
 
 
 def descriptors_needed(plan: plans.Plan) -> int:
-    """The largest number of file descriptors that one process of the test harness may need."""
+    """The maximum number of file descriptors that one process of the test harness may need."""
     listeners = plan.limiters.count * (plan.fleet.servers + 3)
     return listeners + plan.limiters.count * plan.limiters.sockets // 2 + SPARE_DESCRIPTORS
 
@@ -190,7 +190,7 @@
 class Play:
     """One run of a plan, from the start of its processes to the merged history.
 
-    ``run`` ends its processes and removes its files in any case."""
+    ``run`` stops its processes and removes its files even if it fails or is cancelled."""
 
     def __init__(
         self,
--- a/hookport/rehearsal/referee.py
+++ b/hookport/rehearsal/referee.py
@@ -12,7 +12,7 @@
 protocol  servers get commands in the form in which clients sent them
 process   no limiter exits unexpectedly, or later than the platform allows
 memory    no limiter's memory grows without bound
-rude      clients that send unparsable data get an error or a close
+rude      clients that send malformed requests get an error or a close
 
 The rules are judged by what was observed: ``arrive`` is a complete command at a server, ``told`` is what a
 discovery agent wrote to a limiter.  Claims that may have been executed are distinguished from claims
@@ -31,9 +31,9 @@
 
 SECOND_NS = 1_000_000_000
 MS_NS = 1_000_000
-# How long a misbehaving client waits for an error reply or a close.
+# How long a client that sends malformed requests waits for an error or a close.
 BAD_CLIENT_TIMEOUT_NS = 3000 * MS_NS
-# Share of the misbehaving clients that may get no reaction, since the machine may be busy.
+# Share of these clients that may get neither, since the machine may be busy.
 MAX_UNANSWERED_BAD_CLIENT_SHARE = 0.05
 # An overload of a cold server is a breach if at least this share of its work came from limiters that had been
 # informed of its start.
@@ -86,7 +86,7 @@
 
 
 def bucket_for(buckets: dict[int, TokenBucket], plan: Plan, due: Row) -> TokenBucket:
-    """Return the token bucket of a request's customer; it is created when first asked for."""
+    """Return the token bucket of a request's customer; it is created at the first call."""
     quota = plan.plans[due["q"]]
     return buckets.setdefault(due["cu"], TokenBucket(quota.rate, quota.burst))
 
@@ -274,7 +274,7 @@
 def check_cold_starts(history: HistoryIndex) -> Iterator[Breach]:
     """Rule cold: recomputes each window's work from starts and arrivals and compares it with the budget."""
     fleet = history.plan.fleet
-    mean_ms = sum(kind.work_ms for kind in history.plan.classes) / len(history.plan.classes)
+    mean_ms = sum(request_class.work_ms for request_class in history.plan.classes) / len(history.plan.classes)
     window_ns = round(fleet.fall_s * SECOND_NS)
     informed_ns: dict[tuple[int, str, int], int] = {}  # when a limiter was informed of a start
     for row in history.rows["told"]:
@@ -404,7 +404,7 @@
     excuse = excuse_check(history)
 
     def could_reach(row: Row) -> bool:
-        """Whether the client could reach its limiter; a cut by the plan is not the limiter's fault."""
+        """Whether the client could reach its limiter; a cut by a fault of the plan is excused."""
         ask = {"l": row.get("l", -1), "p": 0, "t": row["t"] - BAD_CLIENT_TIMEOUT_NS}
         return not excuse(ask, row["t"])
 
--- a/hookport/rehearsal/rival.py
+++ b/hookport/rehearsal/rival.py
@@ -1,6 +1,6 @@
 """A stronger reference limiter to compare scores with: fixed quota slices, least-loaded choice, one retry.
 
-It stands for what a good engineer would write in a day. Each limiter holds its share of a customer's quota in
+It represents what a good engineer could write in a day. Each limiter holds its share of a customer's quota in
 a token bucket. A request goes to the server with the fewest requests in flight from this limiter; a server
 that failed is ejected for a while. A request that is safe to repeat is retried once on another server, within
 a retry budget. It shares no state with other limiters and uses no counter.
@@ -24,7 +24,7 @@
 RETRY_TOKENS_PER_REQUEST = 0.1  # retries earned by each request
 MAX_RETRY_TOKENS = 5.0  # upper bound of the saved retries
 EJECTION_S = 1.0  # how long a failed server is avoided
-MAX_IN_FLIGHT_PER_SERVER = 24  # from this limiter
+MAX_IN_FLIGHT_PER_SERVER = 24  # requests from this limiter
 CONNECT_TIMEOUT_S = 0.25
 SAFE_COMMAND = b"SVC.QUERY"
 
--- a/hookport/rehearsal/score.py
+++ b/hookport/rehearsal/score.py
@@ -1,4 +1,4 @@
-"""The score: the value answered within the target latency, divided by the most that any policy can earn.
+"""The score: the value answered within the target latency, divided by the maximum that any policy can earn.
 
 ``bound.py`` computes that maximum: no policy can exceed it within the quotas, so a ``whole`` score of 1 is
 the best possible. A client attempt that was forwarded beyond the quota earns nothing and costs the share of
@@ -19,7 +19,7 @@
 
 SECOND_NS = 1_000_000_000
 MS_NS = 1_000_000
-WINDOW_S = 10  # length of the windows of which the worst counts
+WINDOW_S = 10  # length of the windows; the worst one is part of the score
 SERIES_STEP_S = 1  # resolution of the charts of requests per second
 OUTCOMES = ("served", "late", "refused inside", "refused beyond", "failed", "unanswered", "never sent")
 
@@ -169,7 +169,7 @@
 
 
 def add_figures(history: referee.HistoryIndex, outcomes: list[RequestOutcome], result: Score) -> None:
-    """Fill in the figures that are reported beside the score."""
+    """Fill in the figures that are reported in addition to the score."""
     plan = history.plan
     units = referee.units_by_plan(history)
     beyond, within = (sum(pair[n] for pair in units.values()) for n in (0, 1))
--- a/hookport/rehearsal/show.py
+++ b/hookport/rehearsal/show.py
@@ -37,7 +37,7 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, error_type: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         self.bars.stop()
 
@@ -64,24 +64,24 @@
             self.shown_s = time.monotonic()
 
 
-def format_plan_score(name: str, judged: Judgement) -> str:
-    return f"{judged.score.plans.get(name, 0.0):.3f}"
+def format_plan_score(name: str, judgement: Judgement) -> str:
+    return f"{judgement.score.plans.get(name, 0.0):.3f}"
 
 
-def format_beyond_quota(name: str, judged: Judgement) -> str:
-    return f"{judged.score.beyond_plans.get(name, 0.0):.1%}"
+def format_beyond_quota(name: str, judgement: Judgement) -> str:
+    return f"{judgement.score.beyond_plans.get(name, 0.0):.1%}"
 
 
-def format_debt(name: str, judged: Judgement) -> str:
-    return f"{judged.score.debts.get(name, 0.0):.1f} units"
+def format_debt(name: str, judgement: Judgement) -> str:
+    return f"{judgement.score.debts.get(name, 0.0):.1f} units"
 
 
-def format_outcome(name: str, judged: Judgement) -> str:
-    return str(judged.score.outcomes[name])
+def format_outcome(name: str, judgement: Judgement) -> str:
+    return str(judgement.score.outcomes[name])
 
 
-def format_latency(name: str, judged: Judgement) -> str:
-    latency = judged.score.latency_ms.get(name, {"p50": 0.0, "p99": 0.0})
+def format_latency(name: str, judgement: Judgement) -> str:
+    latency = judgement.score.latency_ms.get(name, {"p50": 0.0, "p99": 0.0})
     return f"{latency['p50']:.0f} / {latency['p99']:.0f} ms"
 
 
--- a/hookport/rehearsal/standins/datagrams.py
+++ b/hookport/rehearsal/standins/datagrams.py
@@ -37,7 +37,7 @@
     """Relays datagrams between limiters.
 
     ``loss_share`` is the share lost, ``delay_s`` the minimum and maximum delay, ``random`` the source of
-    random numbers. Counted for the judge: datagrams ``sent`` and ``largest_bytes`` per sender, and per
+    random numbers. Counted for the referee: datagrams ``sent`` and ``largest_bytes`` per sender, and per
     receiver the datagrams delivered in its ``busiest_second``."""
 
     def __init__(
@@ -77,7 +77,7 @@
         return addresses
 
     def is_partitioned(self, first: int, second: int) -> bool:
-        """Return whether two limiters are in different partitions; a limiter in none reaches nobody."""
+        """Return whether two limiters are in different partitions; one that is in none reaches no other."""
         return bool(self.partitions) and not any(first in side and second in side for side in self.partitions)
 
     def forward(self, sender: int, receiver: int, data: bytes) -> None:
--- a/hookport/rehearsal/standins/server.py
+++ b/hookport/rehearsal/standins/server.py
@@ -266,7 +266,7 @@
         self.start_jobs()
 
     def overloads(self, work_s: float, now_ns: int) -> bool:
-        """Add work to the overload window; stop a cold server for good if the window exceeds its budget.
+        """Add work to the overload window; stop a cold server permanently if the window exceeds its budget.
 
         Uses the timestamps written to the history, so that the referee computes the same sums."""
         now_s = now_ns / 1e9
--- a/hookport/rehearsal/trace.py
+++ b/hookport/rehearsal/trace.py
@@ -12,21 +12,21 @@
     """The request was not found; the message is one line."""
 
 
-def rows_of_request(rows: Iterable[Row], seed: int, which: str) -> list[Row]:
+def rows_of_request(rows: Iterable[Row], seed: int, request: str) -> list[Row]:
     """Return the rows of a request, given its number or the id of one of its attempts; raises TraceError.
 
     Faults, and events of the servers and limiters involved, are included while the request was open."""
     history = list(rows)
-    number = int(which) if which.isdigit() and len(which) < 16 else None
+    number = int(request) if request.isdigit() and len(request) < 16 else None
     if number is None:
-        decoded = draw.decode_request_id(seed, which)
+        decoded = draw.decode_request_id(seed, request)
         if decoded is None:
-            raise TraceError(f"--trace: {which}: not a request number or an attempt id of seed {seed}")
+            raise TraceError(f"--trace: {request}: not a request number or an attempt id of seed {seed}")
         number = decoded[0]
     ids = {row["id"] for row in history if row["e"] == "ask" and row["n"] == number}
     request_rows = [row for row in history if row.get("n") == number or row.get("id") in ids]
     if not request_rows:
-        raise TraceError(f"--trace: {which}: no such request in this history")
+        raise TraceError(f"--trace: {request}: no such request in this history")
     from_ns, until_ns = min(row["t"] for row in request_rows), max(row["t"] for row in request_rows)
     servers_and_limiters = (
         {row["s"] for row in request_rows if "s" in row},
--- a/hookport/rehearsal/trial.py
+++ b/hookport/rehearsal/trial.py
@@ -42,7 +42,7 @@
         return self.rule in self.broken if self.rule else not self.broken
 
 
-def chosen_mutants(only: str | None, short: bool) -> list[str]:
+def selected_mutants(only: str | None, short: bool) -> list[str]:
     """Return the mutants to try; raises PlanError for an unknown name."""
     if not only:
         return list(mutants.QUICK_MUTANTS if short else mutants.MUTANTS)
@@ -100,7 +100,7 @@
 
 async def command(args: argparse.Namespace) -> int:
     """Run ``hookport rehearse mutants``; returns RULES_KEPT if the referee found exactly what it should."""
-    names = chosen_mutants(args.only, args.short)
+    names = selected_mutants(args.only, args.short)
     plan = commands.load_plan("gauntlet", args.length)
     jobs = args.jobs or max(1, (os.cpu_count() or 1) // CORES_PER_RUN)
     console = Console()
--- a/hookport/rehearsal/world.py
+++ b/hookport/rehearsal/world.py
@@ -1,6 +1,6 @@
 """Worker process with the simulated servers, counter, discovery agents and proxies, and their faults.
 
-The orchestrator starts it, sends commands on its standard input and reads events from its standard output.
+The orchestrator starts it, sends orders on its standard input and reads events from its standard output.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class World:
-    """Everything that the limiters of one run talk to, except the clients.
+    """All systems that the limiters of one run communicate with, except the clients.
 
     ``send_event`` reports an event to the orchestrator as keyword arguments."""
 
@@ -52,7 +52,7 @@
         plan, seed, limiters = self.plan, self.seed, self.plan.limiters.count
         self.limiter_ports = limiter_ports
         fleet = plan.fleet
-        mean_ms = sum(traffic_class.work_ms for traffic_class in plan.classes) / len(plan.classes)
+        mean_ms = sum(request_class.work_ms for request_class in plan.classes) / len(plan.classes)
         for n in range(fleet.servers):
             model = Model(
                 cores=fleet.cores,
@@ -334,22 +334,22 @@
         self.record_fault(f"counter {fault.mode}")
         await self.counter.set_mode(fault.mode, fault.late_ms / 1000, fault.age_s, fault.sides)
         if fault.mode not in ("fresh", "snapshot"):
-            left_s = fault.for_s
-            while fault.flaps and left_s > fault.flap_s:
+            remaining_s = fault.for_s
+            while fault.flaps and remaining_s > fault.flap_s:
                 await asyncio.sleep(fault.flap_s)
-                left_s -= fault.flap_s
+                remaining_s -= fault.flap_s
                 for limiter in fault.flaps:
                     self.counter.switch_side(limiter)
                 self.record_fault(f"counter: limiters {', '.join(map(str, fault.flaps))} change sides")
-            await asyncio.sleep(left_s)
+            await asyncio.sleep(remaining_s)
             await self.counter.set_mode("ok")
             self.record_fault("counter well again")
 
     async def run_peers_fault(self, fault: plans.PeersFault) -> None:
         if self.datagrams is None:
             return
-        alone = [(limiter,) for limiter in range(self.plan.limiters.count)]
-        self.datagrams.partitions = tuple(frozenset(side) for side in fault.sides or alone)
+        isolated = [(limiter,) for limiter in range(self.plan.limiters.count)]
+        self.datagrams.partitions = tuple(frozenset(side) for side in fault.sides or isolated)
         self.record_fault("datagrams between limiters cut")
         await asyncio.sleep(fault.for_s)
         self.datagrams.partitions = ()
@@ -385,33 +385,33 @@
 
 
 class WorldWorker:
-    """Executes the commands that the orchestrator sends to this process."""
+    """Executes the orders that the orchestrator sends to this process."""
 
     world: World
     recorder: Recorder
     lag: LagMonitor
 
-    async def take(self, orders: WorkerPipe, order: dict[str, Any]) -> bool:
+    async def handle_order(self, pipe: WorkerPipe, order: dict[str, Any]) -> bool:
         if order["op"] == "start":
             Environment.host = order["host"]
             plan = msgspec.convert(order["plan"], plans.Plan)
             self.recorder = Recorder(order["part"])
-            self.world = World(plan, order["seed"], self.recorder, orders.send_event)
-            orders.send_event(ev="ready", **await self.world.start(order["limiters"], order["words"]))
+            self.world = World(plan, order["seed"], self.recorder, pipe.send_event)
+            pipe.send_event(ev="ready", **await self.world.start(order["limiters"], order["words"]))
             self.lag = LagMonitor(self.world.loop, "world", self.world.write_row)
         elif order["op"] == "go":
             self.world.schedule_faults(order["start_ns"])
         elif order["op"] == "known":
             known = self.world.agents[order["l"]].known_list(notified=True)
-            orders.send_event(ev="known", l=order["l"], known=known)
+            pipe.send_event(ev="known", l=order["l"], known=known)
         elif order["op"] == "end":
             self.lag.close()
             self.world.close()
             self.recorder.close()
-            orders.send_event(ev="ended")
+            pipe.send_event(ev="ended")
             return False
         return True
 
 
 if __name__ == "__main__":
-    sys.exit(run_worker("world", WorldWorker().take))
+    sys.exit(run_worker("world", WorldWorker().handle_order))
