--- a/hookport/rehearsal/runtime.py
+++ b/hookport/rehearsal/runtime.py
@@ -1,4 +1,4 @@
-"""Shared by the test harness processes: host, clocks, ports, loop lag, worker pipes, ordered replies."""
+"""Code shared by the processes of the test harness: host, clocks, ports, loop lag, worker pipes, replies."""
 
 from __future__ import annotations
 
--- a/tests/test_referee.py
+++ b/tests/test_referee.py
@@ -342,7 +342,7 @@
     assert referee.void_reason(PLAN, []) == "no request was due"
 
 
-def test_the_score_is_the_value_in_time_over_the_most_that_any_policy_earns() -> None:
+def test_the_score_is_the_value_in_time_over_the_maximum_that_any_policy_can_earn() -> None:
     history = HistoryBuilder()
     for n in range(4):
         history.served(1.0 + n / 100, f"i{n}", n)
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -92,12 +92,12 @@
     judged = rehearse(plans.parse(PARTITION, "partition"))
     assert judged.verdict == "kept", [b.text for b in judged.breaches[:5]] or judged.void
     quota = next(quota for quota in judged.plan.plans if quota.name == "premium")
-    largest = max(desk.units[1] for desk in judged.plan.desk)
+    max_units = max(desk.units[1] for desk in judged.plan.desk)
     split_bound = bound_units(
-        CounterState.SPLIT, quota.rate, quota.burst, 4, largest, REPORT_SHARE, 30_000_000
+        CounterState.SPLIT, quota.rate, quota.burst, 4, max_units, REPORT_SHARE, 30_000_000
     )
     healthy_bound = bound_units(
-        CounterState.HEALTHY, quota.rate, quota.burst, 4, largest, REPORT_SHARE, 30_000_000
+        CounterState.HEALTHY, quota.rate, quota.burst, 4, max_units, REPORT_SHARE, 30_000_000
     )
     assert 0 < judged.score.debts["premium"] <= split_bound + healthy_bound
     datagrams = [row for row in judged.rows if row["e"] == "words"]
@@ -153,7 +153,7 @@
     plan = tmp_path / "tiny.toml"
     plan.write_text(TINY)
     files = {name: tmp_path / f"out.{name}" for name in ("json", "html", "history")}
-    options = [word for name, path in files.items() for word in (f"--{name}", str(path))]
+    options = [option for name, path in files.items() for option in (f"--{name}", str(path))]
     command = [*REHEARSE, str(plan), "--no-plain", *options]
     played = subprocess.run(command, capture_output=True, text=True, timeout=120)
     assert played.returncode == 0, played.stderr
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -61,8 +61,8 @@
 
 
 def ask(id: str) -> tuple[bytes, ...]:
-    words = (b"0000000000000007", id.encode(), b"c=x,t=y,d=500")
-    return (b"SVC.SUBMIT", *words, b"body") if id[0] == "c" else (b"SVC.QUERY", *words)
+    arguments = (b"0000000000000007", id.encode(), b"c=x,t=y,d=500")
+    return (b"SVC.SUBMIT", *arguments, b"body") if id[0] == "c" else (b"SVC.QUERY", *arguments)
 
 
 def test_a_server_replies_and_records_arrival_effect_and_reply() -> None:
@@ -319,7 +319,7 @@
         ]
         lost = {2}
         relay = DatagramRelay(
-            loop, 0.5, (0.0, 0.0), lambda what, n: 0.0 if what == "lost" and n in lost else 0.9
+            loop, 0.5, (0.0, 0.0), lambda purpose, n: 0.0 if purpose == "lost" and n in lost else 0.9
         )
         addresses = await relay.start([one.get_extra_info("sockname")[1] for one in sockets])
 
@@ -327,11 +327,11 @@
             host, port = addresses[sender][receiver].split(":")
             return host, int(port)
 
-        async def take(receiver: int) -> tuple[bytes, object]:
+        async def receive(receiver: int) -> tuple[bytes, object]:
             return await asyncio.wait_for(mailboxes[receiver].received.get(), 5)
 
         sockets[0].sendto(b"one", address(0, 1))
-        assert await take(1) == (b"one", address(1, 0))  # it arrives from the address that reaches its sender
+        assert await receive(1) == (b"one", address(1, 0))  # comes from the address that reaches its sender
         sockets[0].sendto(b"lost", address(0, 1))
         await until(lambda: relay.sent[0] == 2)
         sockets[0].sendto(bytes(257), address(0, 1))
@@ -340,10 +340,10 @@
         relay.partitions = (frozenset({0, 2}), frozenset({1}))
         sockets[0].sendto(b"cut", address(0, 1))
         sockets[0].sendto(b"near", address(0, 2))
-        assert await take(2) == (b"near", address(2, 0))
+        assert await receive(2) == (b"near", address(2, 0))
         relay.partitions = ()
         sockets[0].sendto(b"again", address(0, 1))
-        assert await take(1) == (b"again", address(1, 0))
+        assert await receive(1) == (b"again", address(1, 0))
         assert relay.sent == [6, 0, 0] and relay.largest_bytes[0] == 257 and max(relay.busiest_second) <= 2
         relay.close()
         for one in sockets:
