--- a/benchmarks/kit_rate.py
+++ b/benchmarks/kit_rate.py
@@ -1,12 +1,11 @@
-"""The request rate that the rehearsal test harness sustains before its own delays distort a run.
+"""The request rate that the test harness sustains before its own delays distort a run.
 
     python benchmarks/kit_rate.py [--servers] [RATE ...]
 
 The limiters are replaced by a stub that answers at once, so that only the test harness is measured: clients,
 history and judgement. With --servers they are six plain limiters that forward every request, so that the
-simulated servers are loaded too. Printed for each rate: the requests sent per second, the delay of their
-sending (p50 and p99, ms), the longest delay of an event loop of the harness, and whether the run would be
-valid.
+simulated servers work too. Printed for each rate: the requests sent per second, the delay of their sending
+(p50 and p99, ms), the longest delay of an event loop of the harness, and whether the run would be valid.
 """
 
 from __future__ import annotations
@@ -69,9 +68,9 @@
     text = (
         f"{len(delays_ms) / LENGTH_S:7.0f}/s  answered {answered / max(1, len(delays_ms)):6.1%}  "
         f"late p50 {quantile(delays_ms, 0.5):5.1f} p99 {quantile(delays_ms, 0.99):6.1f} ms  "
-        f"held {max_lag_ms:5.0f} ms  "
+        f"blocked {max_lag_ms:5.0f} ms  "
         f"answer p50 {quantile(latencies_ms, 0.5):5.1f} p99 {quantile(latencies_ms, 0.99):6.1f} ms  "
-        f"read in {read_s:.1f} s  {'void: ' + reason if reason else 'counts'}"
+        f"read in {read_s:.1f} s  {'void: ' + reason if reason else 'valid'}"
     )
     return text, not reason
 
@@ -82,7 +81,7 @@
         text, valid = asyncio.run(measure(rate, servers))
         print(text, flush=True)
         best_rate = max(best_rate, rate if valid else 0)
-    print(f"highest rate with a valid run: {best_rate} requests per second")
+    print(f"the test harness sustains {best_rate} requests per second")
     return 0
 
 
--- a/hookport/rehearsal/bound.py
+++ b/hookport/rehearsal/bound.py
@@ -1,4 +1,4 @@
-"""The most value that any policy can earn within the quotas: the reference for a score.
+"""The maximum value that any policy can earn within the quotas: the reference for a score.
 
 A gateway that admits requests in order of arrival is no upper bound: clients retry, so a policy serves
 requests that this gateway would have refused, and it may reserve a customer's quota for its more valuable
@@ -9,9 +9,9 @@
 of length ``d`` a customer may send ``burst + rate * d`` units, so of the requests due in it at most
 ``burst + rate * (d + target)`` units can earn. These limits, one for each interval, are an
 intersecting-submodular function, so the admissible amounts form a polymatroid (Edmonds, "Submodular
-Functions, Matroids, and Certain Polyhedra", 1970), and admitting as much as fits in order of falling value is
-optimal. Servers are assumed to be fast and without capacity limit, so the cost of their faults remains in the
-score.
+Functions, Matroids, and Certain Polyhedra", 1970), and admitting as much as fits in order of decreasing value
+is optimal. Servers are assumed to be fast and without capacity limit, so the cost of their faults remains
+in the score.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-SECOND = 1_000_000_000
+SECOND_NS = 1_000_000_000
 
 
 class Offer(NamedTuple):
@@ -38,7 +38,7 @@
     ``offers`` are in order of time. ``rate`` is in units per second. ``burst`` is the number of units that
     may be sent at once, including the refill during the target latency."""
     admitted = [0.0] * len(offers)
-    refilled = [rate * offer.at_ns / SECOND for offer in offers]
+    refilled = [rate * offer.at_ns / SECOND_NS for offer in offers]
     for value in sorted({offer.value for offer in offers}, reverse=True):
         min_slack_from = [0.0] * len(offers)  # lowest refill minus units admitted, from each offer on
         total, lowest = sum(admitted), math.inf
@@ -52,8 +52,8 @@
         for n, offer in enumerate(offers):
             max_slack_until = max(max_slack_until, refilled[n] - admitted_before)
             if offer.value == value:
-                room = burst + min_slack_from[n] - admitted_of_value - max_slack_until
-                admitted[n] = max(0.0, min(offer.units, room))
+                available = burst + min_slack_from[n] - admitted_of_value - max_slack_until
+                admitted[n] = max(0.0, min(offer.units, available))
                 admitted_of_value += admitted[n]
             admitted_before += admitted[n]
     return admitted
