--- a/hookport/limits/commands.py
+++ b/hookport/limits/commands.py
@@ -27,7 +27,7 @@
 from hookport.limits.users import Users
 from hookport.options import Limits
 
-MS, SECOND = 1_000_000, 1_000_000_000
+MS_NS, SECOND_NS = 1_000_000, 1_000_000_000
 EXPIRY_MARGIN_S = 0.1  # added to the timeout of a request, so that the policy normally answers first
 MAX_FAILED_AUTHS = 8  # on one connection
 NOPERM = b"-NOPERM this user may not use this command, or not for this customer\r\n"
@@ -75,7 +75,7 @@
             daemon,
         )
         self.version, self.users = version, users
-        self.ledger = Ledger(round(options.keep_s * SECOND), options.most_ids)
+        self.ledger = Ledger(round(options.keep_s * SECOND_NS), options.most_ids)
         self.pending: dict[int, PendingCommand] = {}
         self.connection_ids = itertools.count(1)
 
@@ -130,7 +130,7 @@
         connection.pending_replies.append(pending_reply)
         pending.replies.append(pending_reply)
         deadline_ns = self.settings.classes[fields.class_index].deadline_ns
-        timeout_ns = min(command.wait_ms * MS or deadline_ns, deadline_ns)
+        timeout_ns = min(command.wait_ms * MS_NS or deadline_ns, deadline_ns)
         request_id = self.daemon.new_id()
         self.pending[request_id] = pending
         mode = api.RequestMode.TAKE if verb == TAKE else api.RequestMode.PEEK
@@ -138,7 +138,7 @@
         if request_id in self.pending:
             # Without a timer, a request that the policy never answers would stay pending forever.
             pending.expiry_timer = self.loop.call_later(
-                timeout_ns / SECOND + EXPIRY_MARGIN_S, self.expire, request_id
+                timeout_ns / SECOND_NS + EXPIRY_MARGIN_S, self.expire, request_id
             )
 
     def handle_repeat(
@@ -174,7 +174,7 @@
     def on_quota_answer(self, action: api.QuotaAnswer) -> None:
         """Reply to a request that the policy allowed or denied."""
         if pending := self.remove(action.request_id):
-            wait_ms = -(-action.wait_ns // MS)
+            wait_ms = -(-action.wait_ns // MS_NS)
             if pending.record and action.allowed:
                 pending.record.units = pending.units
             self.complete(
@@ -191,7 +191,7 @@
 
     @staticmethod
     def encode_refusal(wait_ns: int) -> bytes:
-        return b"*3\r\n:0\r\n:0\r\n:%d\r\n" % -(-wait_ns // MS)
+        return b"*3\r\n:0\r\n:0\r\n:%d\r\n" % -(-wait_ns // MS_NS)
 
     def remove(self, request_id: int) -> PendingCommand | None:
         pending = self.pending.pop(request_id, None)
--- a/hookport/node.py
+++ b/hookport/node.py
@@ -25,8 +25,8 @@
 
 log = logging.getLogger("hookport.node")
 
-NS_PER_MS = 1_000_000
-NS_PER_SECOND = 1_000_000_000
+MS_NS = 1_000_000
+SECOND_NS = 1_000_000_000
 # A request ends this long before its client stops waiting: enough for the reply to be written and to arrive.
 REPLY_MARGIN_MS = 25
 # Share of the descriptors for client connections. Clients with requests use a third of all descriptors, and
@@ -34,7 +34,7 @@
 CLIENT_CONNECTION_SHARE = 0.62
 RESERVED_SOCKETS = 32  # for the loop, discovery, the counter and sockets that are being closed
 # SIGKILL may follow SIGTERM after this time, or after the longest deadline if that is shorter, plus 0.7 s.
-KILL_AFTER_NS = 3 * NS_PER_SECOND
+KILL_AFTER_NS = 3 * SECOND_NS
 KILL_GRACE_S = 0.4  # the part of those 0.7 s that is used; the rest is for the replies to arrive
 MAX_BODY_SHARE = 0.25  # share of the memory limit that the arguments of open requests may use
 
@@ -94,10 +94,10 @@
         self.client_ids: tuple[set[bytes], set[bytes]] = (set(), set())  # recent ids: newer, older
         self.client_ids_since_ns = 0
         max_connections = max(16, config.max_sockets - RESERVED_SOCKETS)
-        connect_timeout_s = (settings.connect_timeout_ns or NS_PER_SECOND) / NS_PER_SECOND
+        connect_timeout_s = (settings.connect_timeout_ns or SECOND_NS) / SECOND_NS
         self.clients = Clients(loop, self.handle_request, round(max_connections * CLIENT_CONNECTION_SHARE))
         max_server_connections = max_connections - self.clients.max_connections
-        server_idle_timeout_s = config.server_idle_timeout_ns / NS_PER_SECOND
+        server_idle_timeout_s = config.server_idle_timeout_ns / SECOND_NS
         self.servers = Servers(
             loop,
             self.attempt_ended,
@@ -123,7 +123,7 @@
             members.discovery = self.discovery
         self.counter: Counter | None = None
         if config.counter:
-            counter_timeout_s = settings.counter_timeout_ns / NS_PER_SECOND
+            counter_timeout_s = settings.counter_timeout_ns / SECOND_NS
             self.counter = Counter(
                 loop, config.counter, counter_timeout_s, connect_timeout_s, self.counter_call_ended
             )
@@ -217,7 +217,7 @@
     def shut_down(self) -> None:
         """Stop on SIGTERM: serve late connections, and answer all requests before a SIGKILL may follow."""
         if self.stop_timer is None:
-            wait_s = min(self.max_deadline_ns, KILL_AFTER_NS) / NS_PER_SECOND + KILL_GRACE_S
+            wait_s = min(self.max_deadline_ns, KILL_AFTER_NS) / SECOND_NS + KILL_GRACE_S
             self.stop_timer = self.loop.call_later(wait_s, self.answer_all)
             if self.members:
                 self.members.save()
@@ -266,14 +266,14 @@
         if memory_full or len(self.open_requests) >= (self.settings.max_pending or 20_000):
             return pending_reply.complete(resp.busy(self.settings.max_retry_after_ns))
         deadline_ns = self.settings.classes[fields.class_index].deadline_ns
-        timeout_ns = min(max(1, command.wait_ms - REPLY_MARGIN_MS) * NS_PER_MS, deadline_ns)
+        timeout_ns = min(max(1, command.wait_ms - REPLY_MARGIN_MS) * MS_NS, deadline_ns)
         request_id = self.new_id()
         now_ns = self.now_ns()
         request = OpenRequest(request_id, command, pending_reply, now_ns + timeout_ns)
         self.open_requests[request_id] = request
         self.open_request_bytes += request.size_bytes
         request.deadline_timer = self.loop.call_later(
-            timeout_ns / NS_PER_SECOND, self.request_expired, request_id
+            timeout_ns / SECOND_NS, self.request_expired, request_id
         )
         pending_reply.on_disconnect = lambda: self.client_disconnected(request_id)
         self.feed(command.to_event(request_id, timeout_ns))
@@ -328,11 +328,11 @@
         number, request.attempt_count = request.attempt_count, request.attempt_count + 1
         now_ns = self.now_ns()
         deadline_ns = min(action.deadline_ns or request.deadline_ns, request.deadline_ns)
-        payload = request.command.forward(max(1, (deadline_ns - now_ns) // NS_PER_MS))
+        payload = request.command.forward(max(1, (deadline_ns - now_ns) // MS_NS))
         attempt = Attempt(action.request_id, number, action.server, payload, now_ns)
         self.attempts[action.request_id, number] = attempt
         if deadline_ns < request.deadline_ns:
-            wait_s = (deadline_ns - now_ns) / NS_PER_SECOND
+            wait_s = (deadline_ns - now_ns) / SECOND_NS
             attempt.deadline_timer = self.loop.call_later(
                 wait_s, self.servers.abort_attempt, attempt, api.Outcome.TIMEOUT
             )
@@ -379,7 +379,7 @@
 
     def set_timer(self, action: api.SetTimer) -> None:
         # The loop's timers have millisecond resolution; rounding up keeps them from firing early.
-        wait_s = -(-action.delay_ns // NS_PER_MS) / 1000
+        wait_s = -(-action.delay_ns // MS_NS) / 1000
         self.loop.call_later(wait_s, self.feed, api.TimerFired(action.token))
 
     def count(self, action: api.Count) -> None:
@@ -388,7 +388,7 @@
         self.counter.call(action.key, action.amount, action.lifetime_ns, action.call_id)
 
     def counter_call_ended(self, call: Call, outcome: api.Outcome, total: float) -> None:
-        elapsed_ns = int((self.loop.time() - call.sent_s) * NS_PER_SECOND)
+        elapsed_ns = int((self.loop.time() - call.sent_s) * SECOND_NS)
         self.feed(api.Counted(call.key, outcome, total, elapsed_ns, call.call_id))
 
     def tell(self, action: api.Tell) -> None:
